--- a/daemon/request/_request_events.ts
+++ b/daemon/request/_request_events.ts
@@ -1,4 +1,4 @@
-/** What is logged of a request's attempts and its end. */
+/** Builds the log events for the start of an attempt and the end of a request. */
 import type { AnswerHead, WholeAnswer } from '../../core/answer/index.ts'
 import type { StartMode, RequestState } from '../../core/request/index.ts'
 import { runningNow, type EndpointView, type Lane, type Route } from '../../core/routing/index.ts'
@@ -8,12 +8,12 @@
 import type { FinalWord } from './live_answer.ts'
 import type { PieceTimes } from './piece_times.ts'
 
-/** One attempt as it begins; `route` is what was predicted, where anything was. */
-export interface BegunAttempt { attempt: number, mode: StartMode, lane: Lane, fromPiece: number, route: Route | undefined, table: EndpointTable }
+/** An attempt that is about to start. `route` holds the router's prediction, if the router chose the endpoint. */
+export interface StartedAttempt { attempt: number, mode: StartMode, lane: Lane, fromPiece: number, route: Route | undefined, table: EndpointTable }
 
-/** An attempt and what was believed of its endpoint. */
-export function startEvent (view: EndpointView, begun: BegunAttempt): RequestEvents['attempt-started'] {
-  const { attempt, mode, lane, fromPiece, route, table } = begun
+/** Builds the `attempt-started` event, with the state of the endpoint as this daemon knew it. */
+export function attemptStartedEvent (view: EndpointView, started: StartedAttempt): RequestEvents['attempt-started'] {
+  const { attempt, mode, lane, fromPiece, route, table } = started
   return {
     attempt,
     endpoint: view.id,
@@ -29,7 +29,7 @@
   }
 }
 
-/** A request that has ended. */
+/** The parts of a finished request that its `request-ended` event reports. */
 interface EndedRequest {
   readonly acceptedAtMs: number
   readonly state: RequestState
@@ -38,8 +38,8 @@
   readonly failureAnswer: WholeAnswer | undefined
 }
 
-/** How a request ended, and when its pieces came. */
-export function endEvent (req: EndedRequest, { final, pieces }: { final: FinalWord, pieces: PieceTimes }): RequestEvents['request-ended'] {
+/** Builds the `request-ended` event: the outcome and the timing of the answer's pieces. */
+export function requestEndedEvent (req: EndedRequest, { final, pieces }: { final: FinalWord, pieces: PieceTimes }): RequestEvents['request-ended'] {
   return {
     outcome: final.outcome,
     why: final.reason,
--- a/daemon/request/broker.ts
+++ b/daemon/request/broker.ts
@@ -1,4 +1,4 @@
-/** Accepts requests, finds the answers of earlier ones wherever they are held, and hands them over when this daemon leaves. */
+/** Accepts requests, looks up the answers of earlier requests on any daemon, and hands both over when this daemon drains. */
 import { randomUUID } from 'node:crypto'
 import { as, daemonOf, requestId, type AccountId, type DaemonId, type PoolName, type RequestId } from '../../core/ids/index.ts'
 import type { ClaimResult } from '../../core/once/index.ts'
@@ -21,7 +21,7 @@
 import { EngineRunner, ServiceRunner } from './token_runner.ts'
 import { TokenTask, type HandOver } from './token_task.ts'
 
-/** What a caller sent, once it is known who the caller is. */
+/** A request from an authenticated caller. */
 export interface Submission {
   account: AccountId
   className: string
@@ -30,7 +30,7 @@
   idempotencyKey: string | undefined
 }
 
-/** A request was refused before anything ran. */
+/** Thrown when a request is refused before any attempt starts. */
 export class RefusedError extends Error {
   override name = 'RefusedError'
   readonly status: number
@@ -58,10 +58,10 @@
   service (view: EndpointView): PlainService
 }
 
-/** A finished answer on its way to the heir. */
-interface Finished { id: RequestId, account: AccountId, tokens: readonly string[], final: NonNullable<LiveAnswer['final']> }
-/** What a task is made from. */
-interface TaskOrder {
+/** A finished answer, as sent to the heir. */
+interface FinishedAnswer { id: RequestId, account: AccountId, tokens: readonly string[], final: NonNullable<LiveAnswer['final']> }
+/** Options of `Broker.#taskFor`. */
+interface TaskOptions {
   id: RequestId
   account: AccountId
   cls: ClassConfig
@@ -77,13 +77,14 @@
 
 const FOLLOW_TIMEOUT_MS = 600_000
 const HAND_OVER_TIMEOUT_MS = 2000
-const RUMOUR_MS = 2000
-const RUMOUR_POLL_MS = 100
-const FINISHED_PER_CALL = 100
-const RETRY_AFTER_FULL_MS = 1000
+/** Longest wait for gossip about a daemon that a request id names, in milliseconds. */
+const MEMBER_WAIT_MS = 2000
+const MEMBER_POLL_MS = 100
+const ANSWERS_PER_CALL = 100
+const RETRY_AFTER_REFUSAL_MS = 1000
 const DEFAULT_MAX_TOKENS = 256
 
-/** Owns all requests of one daemon. */
+/** Owns the open requests and kept answers of one daemon. */
 export class Broker {
   readonly #options: BrokerOptions
   readonly #open = new Map<RequestId, TokenTask>()
@@ -92,145 +93,145 @@
   readonly #mirrors = new Set<RemoteAnswer>()
   readonly #standby: Standby
   #refusing = false
-  /** Called after a stream of another daemon was taken over: its endpoint may be leaving. */
+  /** Called after this daemon takes over a stream, since the stream's endpoint may be leaving. */
   onTookOver: () => void = () => {}
 
   constructor (options: BrokerOptions) {
     this.#options = options
     const { links } = options.membership
     links.handle('follow', (args: FollowArgs, { part, signal }) => this.#serveFollow(args, part, signal))
-    links.handle('hand-over', async (handed: HandOver[]) => handed.filter((entry) => this.#takeOver(entry, true)).map((entry) => entry.id))
+    links.handle('hand-over', async (handOvers: HandOver[]) => handOvers.filter((entry) => this.#takeOver(entry, true)).map((entry) => entry.id))
     this.#standby = new Standby({
       self: options.self,
       hash: options.hash,
       membership: options.membership,
       running: () => [...this.#open.values()].flatMap((task) => task.describe() ?? []),
-      adopt: (handed) => { this.#takeOver(handed, false) },
+      takeOver: (handOver) => { this.#takeOver(handOver, false) },
       goneAtMs: (endpoint) => options.ports.table.goneAtMs(endpoint)
     })
-    links.handle('keep', async (finished: Finished[]) => finished.forEach((entry) => this.#keepFinished(entry)))
-    links.handle('explain', async (id: RequestId) => this.explainHere(id))
-    links.handle('cancel', async ({ id, account }: FollowArgs) => this.#cancelHere(id, account))
+    links.handle('keep', async (finished: FinishedAnswer[]) => finished.forEach((entry) => this.#storeFinished(entry)))
+    links.handle('explain', async (id: RequestId) => this.explainLocal(id))
+    links.handle('cancel', async ({ id, account }: FollowArgs) => this.#cancelLocal(id, account))
   }
 
-  /** Requests that are not finished. */
+  /** Unfinished requests. */
   get open (): IterableIterator<TokenTask> { return this.#open.values() }
-  /** How many. */
+  /** Number of unfinished requests. */
   get openCount (): number { return this.#open.size }
 
   /**
-   * Accepts a request and starts on it.
-   * @throws {RefusedError} When it is refused; nothing ran.
+   * Accepts a request and starts processing it.
+   * @throws {RefusedError} If the request is refused. No attempt has started in that case.
    */
   submit (submission: Submission): TokenTask {
     const { limits } = this.#options.settings
-    if (this.#refusing) throw new RefusedError('Cannot accept request: this daemon is leaving', { status: 503, retryAfterMs: RETRY_AFTER_FULL_MS })
-    if (this.#open.size >= limits.openRequests) throw new RefusedError('Cannot accept request: too many are open', { status: 503, retryAfterMs: RETRY_AFTER_FULL_MS })
+    if (this.#refusing) throw new RefusedError('Cannot accept request: this daemon is leaving', { status: 503, retryAfterMs: RETRY_AFTER_REFUSAL_MS })
+    if (this.#open.size >= limits.openRequests) throw new RefusedError('Cannot accept request: too many are open', { status: 503, retryAfterMs: RETRY_AFTER_REFUSAL_MS })
     const { cls, model } = this.#classOf(submission)
     const maxTokens = submission.maxTokens ?? DEFAULT_MAX_TOKENS
     if (maxTokens > limits.answerTokens) throw new RefusedError(`Cannot accept request: maxTokens is over ${limits.answerTokens}`, { status: 400 })
     const id = requestId(this.#options.self, randomUUID())
     const task = this.#taskFor({ id, account: submission.account, cls, model, input: submission.input, maxTokens: model ? maxTokens : 1, claim: this.#claimFor(id, submission, cls) })
     this.#budgetOf(cls.name).earn()
-    this.#adopt(task)
+    this.#register(task)
     task.post({ type: 'begin' })
     return task
   }
 
-  /** The daemon that would carry this one's streams on. */
+  /** The daemon that takes over this daemon's streams if this one fails. */
   get heir () { return this.#standby.heir() }
 
-  /** Finds the answer of a request, here or at the daemon that holds it now. */
+  /** Returns the answer to a request. An answer held by another daemon is followed through a mirror. */
   find (id: RequestId, account: AccountId): LiveAnswer | undefined {
     const kept = this.#kept.get(id)
     if (kept) return kept.account === account ? kept.answer : undefined
-    return this.#followAway(id, account)
+    return this.#followRemote(id, account)
   }
 
-  /** Stops a request that its caller no longer wants. */
+  /** Cancels a request on the daemon that holds it. Resolves to false if no open request of the account was reached. */
   async cancel (id: RequestId, account: AccountId): Promise<boolean> {
-    if (this.#kept.has(id)) return this.#cancelHere(id, account)
+    if (this.#kept.has(id)) return this.#cancelLocal(id, account)
     const holder = this.#holderOf(id)
     if (!holder) return false
     return await this.#options.membership.links.call(holder, 'cancel', { id, account }).catch(() => false) as boolean
   }
 
-  /** The decisions about a request, wherever it is held. */
+  /** Returns the decision log of a request from the daemon that holds it. */
   async explain (id: RequestId): Promise<Decision[] | undefined> {
-    const here = this.explainHere(id)
+    const here = this.explainLocal(id)
     const holder = here ? undefined : this.#holderOf(id)
     if (!holder) return here
     return await this.#options.membership.links.call(holder, 'explain', id).catch(() => undefined) as Decision[] | undefined
   }
 
-  /** The decisions about a request that is held here. */
-  explainHere (id: RequestId): Decision[] | undefined {
+  /** Returns the decision log of a request held by this daemon. */
+  explainLocal (id: RequestId): Decision[] | undefined {
     const answer = this.#kept.get(id)?.answer
     return answer instanceof TokenTask ? answer.decisions : undefined
   }
 
-  /** Takes nothing new: a request accepted in the last moment could be cut by the end. */
+  /** Refuses new requests, since one accepted just before shutdown could be cut off by it. */
   refuseNew (): void {
     this.#refusing = true
   }
 
-  /** Hands open streams and kept answers to another daemon; returns how many streams moved. */
+  /** Hands open streams over to another daemon. Returns the number of streams it took. */
   async handOver (heir: { id: DaemonId, address: string }): Promise<number> {
     const candidates = [...this.#open.values()].flatMap((task) => {
-      const handed = task.offer()
-      return handed ? [{ task, handed }] : []
+      const handOver = task.prepareHandOver()
+      return handOver ? [{ task, handOver }] : []
     })
-    const taken = await this.#offer(heir, candidates.map(({ handed }) => handed))
-    for (const { task, handed } of candidates) {
-      if (taken.has(handed.id)) this.#letGo(task)
+    const taken = await this.#sendHandOver(heir, candidates.map(({ handOver }) => handOver))
+    for (const { task, handOver } of candidates) {
+      if (taken.has(handOver.id)) this.#releaseTask(task)
       else task.keep()
     }
     this.#options.metrics.handedOver.inc(taken.size)
     return taken.size
   }
 
-  /** Stops reading every stream, as the end of the process would. */
+  /** Stops reading all streams and notifies nobody, like the end of the process. */
   abandon (): void {
     for (const task of this.#open.values()) task.abandon()
   }
 
-  /** Tells the callers that follow other daemons' answers through this one to go on elsewhere. */
+  /** Makes callers that follow another daemon's answer through this daemon resume at a different one. */
   releaseFollowers (): void {
     for (const mirror of this.#mirrors) mirror.cut()
   }
 
-  #letGo (task: TokenTask): void {
-    task.letGo()
+  #releaseTask (task: TokenTask): void {
+    task.markMovedAway()
     this.#open.delete(task.id)
     this.#kept.delete(task.id)
     this.#standby.ended(task.id)
   }
 
-  /** Hands finished answers to the heir, so that their callers can still resume and repeat. */
+  /** Sends finished answers to the heir, so that their callers can still resume them and repeat the request. */
   async handOverFinished (heir: { id: DaemonId, address: string }): Promise<void> {
-    const finished: Finished[] = []
+    const finished: FinishedAnswer[] = []
     for (const { account, answer } of this.#kept.values()) {
       if (answer.final) finished.push({ id: answer.id, account, tokens: answer.tokens, final: answer.final })
     }
-    for (let i = 0; i < finished.length; i += FINISHED_PER_CALL) {
-      await this.#options.membership.links.call(heir, 'keep', finished.slice(i, i + FINISHED_PER_CALL)).catch((err: Error) => log('answers-lost', { heir: heir.id, why: err.message }))
+    for (let i = 0; i < finished.length; i += ANSWERS_PER_CALL) {
+      await this.#options.membership.links.call(heir, 'keep', finished.slice(i, i + ANSWERS_PER_CALL)).catch((err: Error) => log('answers-lost', { heir: heir.id, why: err.message }))
     }
   }
 
-  #taskFor (order: TaskOrder): TokenTask {
-    const { id, account, cls, model, input, maxTokens } = order
+  #taskFor (options: TaskOptions): TokenTask {
+    const { id, account, cls, model, input, maxTokens } = options
     const work = {
       id,
       account,
       cls: classOf(cls, model),
       pool: as<PoolName>(cls.pool),
       demand: model ? this.#demandOf(input, maxTokens) : NO_TOKENS,
-      claim: order.claim,
+      claim: options.claim,
       fingerprint: () => fingerprintOf([account, cls.name, String(maxTokens), input], this.#options.hash64)
     }
     const runnerOptions = { id, input, maxTokens, urgent: work.cls.urgent }
     const runner = model ? new EngineRunner(runnerOptions, this.#options.engine) : new ServiceRunner(runnerOptions, this.#options.service)
-    return new TokenTask({ work, runner, ports: this.#portsOf(cls), ...(order.deadlineInMs !== undefined && { deadlineInMs: order.deadlineInMs }) })
+    return new TokenTask({ work, runner, ports: this.#portsOf(cls), ...(options.deadlineInMs !== undefined && { deadlineInMs: options.deadlineInMs }) })
   }
 
   #demandOf (input: string, maxTokens: number): Demand {
@@ -249,7 +250,7 @@
 
   #config (): Config {
     const accepted = this.#options.config.inForce
-    if (!accepted) throw new RefusedError('Cannot accept request: no configuration is in force yet', { status: 503, retryAfterMs: RETRY_AFTER_FULL_MS })
+    if (!accepted) throw new RefusedError('Cannot accept request: no configuration is in force yet', { status: 503, retryAfterMs: RETRY_AFTER_REFUSAL_MS })
     return accepted.config
   }
 
@@ -273,13 +274,13 @@
     return budget
   }
 
-  #adopt (task: TokenTask): void {
+  #register (task: TokenTask): void {
     this.#open.set(task.id, task)
-    this.#keep(task.id, { account: task.work.account, answer: task })
+    this.#storeAnswer(task.id, { account: task.work.account, answer: task })
     this.#options.metrics.open.set(this.#open.size)
     task.onAttempt = () => {
-      const handed = task.describe()
-      if (handed) this.#standby.started(handed)
+      const handOver = task.describe()
+      if (handOver) this.#standby.started(handOver)
     }
     task.onFinish = () => {
       this.#open.delete(task.id)
@@ -288,15 +289,15 @@
     }
   }
 
-  #keep (id: RequestId, kept: KeptAnswer): void {
+  #storeAnswer (id: RequestId, kept: KeptAnswer): void {
     const { limits } = this.#options.settings
     this.#kept.set(id, kept)
-    setTimeout(() => this.#kept.delete(id), limits.answersKeptMs + runTimeMs(kept)).unref()
-    if (this.#kept.size > limits.answersKept) this.#dropOldest()
+    setTimeout(() => this.#kept.delete(id), limits.answersKeptMs + maxRunTimeMs(kept)).unref()
+    if (this.#kept.size > limits.answersKept) this.#evictOldest()
   }
 
-  /** Bounded memory: the oldest finished answer goes first; its callers are then told `unknown`. */
-  #dropOldest (): void {
+  /** Evicts the oldest finished answer to bound memory. Callers that ask for it later get the outcome `unknown`. */
+  #evictOldest (): void {
     for (const [id, { answer }] of this.#kept) {
       if (!answer.final) continue
       this.#kept.delete(id)
@@ -304,7 +305,7 @@
     }
   }
 
-  #cancelHere (id: RequestId, account: AccountId): boolean {
+  #cancelLocal (id: RequestId, account: AccountId): boolean {
     const task = this.#open.get(id)
     if (!task || task.work.account !== account) return false
     task.post({ type: 'cancelled' })
@@ -317,24 +318,24 @@
     return holder && holder.id !== this.#options.self ? holder : undefined
   }
 
-  #followAway (id: RequestId, account: AccountId): LiveAnswer | undefined {
+  #followRemote (id: RequestId, account: AccountId): LiveAnswer | undefined {
     const daemon = daemonOf(id)
     if (daemon === undefined || daemon === this.#options.self) return undefined
     const answer = new RemoteAnswer(id)
     this.#mirrors.add(answer)
-    this.#mirror(answer, { id, account }, daemon).finally(() => this.#mirrors.delete(answer))
+    this.#fillMirror(answer, { id, account }, daemon).finally(() => this.#mirrors.delete(answer))
     return answer
   }
 
-  /** A daemon that just started may be named by a request before the rumour of it is here, so an unknown one is waited for a little. */
-  async #mirror (answer: RemoteAnswer, args: FollowArgs, daemon: DaemonId): Promise<void> {
+  /** Copies an answer from its holder. A request may name a daemon that started too recently for gossip to have reached this one, so it first waits for it. */
+  async #fillMirror (answer: RemoteAnswer, args: FollowArgs, daemon: DaemonId): Promise<void> {
     const { membership } = this.#options
-    for (let waitedMs = 0; membership.core.member(daemon) === undefined && waitedMs < RUMOUR_MS; waitedMs += RUMOUR_POLL_MS) await delay(RUMOUR_POLL_MS)
+    for (let waitedMs = 0; membership.core.member(daemon) === undefined && waitedMs < MEMBER_WAIT_MS; waitedMs += MEMBER_POLL_MS) await delay(MEMBER_POLL_MS)
     const holder = this.#holderOf(args.id)
-    if (!holder) return answer.lose('nobody holds the answer')
+    if (!holder) return answer.markLost('nobody holds the answer')
     try {
       const found = await membership.links.call(holder, 'follow', args, { timeoutMs: FOLLOW_TIMEOUT_MS, part: (value) => answer.take(value as AnswerPart) })
-      if (!found) answer.lose('the answer is no longer kept')
+      if (!found) answer.markLost('the answer is no longer kept')
     } catch {
       answer.cut()
     }
@@ -362,32 +363,32 @@
     })
   }
 
-  async #offer (heir: { id: DaemonId, address: string }, handed: HandOver[]): Promise<Set<RequestId>> {
-    if (handed.length === 0) return new Set()
-    const taken = await this.#options.membership.links.call(heir, 'hand-over', handed, { timeoutMs: HAND_OVER_TIMEOUT_MS }).catch(() => [])
+  async #sendHandOver (heir: { id: DaemonId, address: string }, handOvers: HandOver[]): Promise<Set<RequestId>> {
+    if (handOvers.length === 0) return new Set()
+    const taken = await this.#options.membership.links.call(heir, 'hand-over', handOvers, { timeoutMs: HAND_OVER_TIMEOUT_MS }).catch(() => [])
     return new Set(taken as RequestId[])
   }
 
-  #takeOver (handed: HandOver, sure: boolean): boolean {
-    const cls = this.#options.config.inForce?.config.classes.find(({ name }) => name === handed.className)
-    const view = handed.endpoint === undefined ? undefined : this.#options.ports.table.get(handed.endpoint)
-    if (!cls || (handed.endpoint !== undefined && !view) || this.#open.has(handed.id)) return false
-    const { id, account, prompt, maxTokens } = handed
-    const task = this.#taskFor({ id, account, cls, model: true, input: prompt, maxTokens, claim: undefined, deadlineInMs: handed.deadlineInMs })
-    this.#adopt(task)
-    task.takeOver(handed, view, sure)
+  #takeOver (handOver: HandOver, ownerReleased: boolean): boolean {
+    const cls = this.#options.config.inForce?.config.classes.find(({ name }) => name === handOver.className)
+    const view = handOver.endpoint === undefined ? undefined : this.#options.ports.table.get(handOver.endpoint)
+    if (!cls || (handOver.endpoint !== undefined && !view) || this.#open.has(handOver.id)) return false
+    const { id, account, prompt, maxTokens } = handOver
+    const task = this.#taskFor({ id, account, cls, model: true, input: prompt, maxTokens, claim: undefined, deadlineInMs: handOver.deadlineInMs })
+    this.#register(task)
+    task.takeOver(handOver, view, ownerReleased)
     this.onTookOver()
     return true
   }
 
-  #keepFinished ({ id, account, tokens, final }: Finished): void {
+  #storeFinished ({ id, account, tokens, final }: FinishedAnswer): void {
     const answer = new RemoteAnswer(as(id))
     answer.take({ offset: 0, tokens, started: true, movedAway: false, final })
-    this.#keep(id, { account, answer })
+    this.#storeAnswer(id, { account, answer })
   }
 }
 
-/** An answer is kept from its end, which is at the latest its deadline. */
-function runTimeMs ({ answer }: KeptAnswer): number {
+/** Longest time that the request may still run, in milliseconds: retention counts from the end of the answer, which comes no later than the deadline. */
+function maxRunTimeMs ({ answer }: KeptAnswer): number {
   return answer instanceof TokenTask ? answer.work.cls.latency.deadlineMs : 0
 }
--- a/daemon/request/dispatcher.ts
+++ b/daemon/request/dispatcher.ts
@@ -1,4 +1,4 @@
-/** Finds an endpoint for each request that asks for one, or lets it wait its turn. */
+/** Assigns requests to endpoints and queues those that no endpoint has room for. */
 import { FairQueue, type Waiting, type WorkQueue } from '../../core/admission/index.ts'
 import { isStartOf, type AccountId, type EndpointId, type PoolName } from '../../core/ids/index.ts'
 import { runningNow, type EndpointView, type PrefixIndex, type Route, type Router } from '../../core/routing/index.ts'
@@ -12,28 +12,28 @@
   cls: WorkClass
   pool: PoolName
   demand: Demand
-  /** Tokens that the endpoint must prefill beside the prompt: those of earlier attempts. */
+  /** Tokens produced by earlier attempts, which the endpoint must prefill along with the prompt. */
   doneTokens: number
-  /** When the request was accepted, in milliseconds since the epoch. */
+  /** When the request was accepted, in milliseconds on the steady clock. */
   acceptedAtMs: number
   deadlineAtMs: number
-  /** True when the request ran already: it is never refused for the latency target, which it met or missed before. */
+  /** True if an earlier attempt may have run. Such a request isn't refused for its latency target, which the earlier attempt has met or missed. */
   resumed: boolean
   avoid: readonly EndpointId[]
   placed (view: EndpointView, route: Route): void
   refused (reason: string, retryAfterMs: number): void
-  /** It waits, because no endpoint has room. */
-  waits (queue: QueuePlace): void
+  /** Called when the request is queued because no endpoint has room. */
+  waits (queue: QueuePosition): void
 }
 
-/** Where a request stands in its pool's queue. */
-export interface QueuePlace { ahead: number, expectedMs: number, latestStartInMs: number, candidates: number }
+/** Position of a request in its pool's queue, and the expected wait. */
+export interface QueuePosition { ahead: number, expectedMs: number, latestStartInMs: number, candidates: number }
 
-/** Where requests go that try a version out. */
+/** Selects requests that are sent to the canary endpoints of a new version. */
 export interface CanaryGate {
-  /** Endpoints that a request may be sent to; none for most. */
+  /** Returns the canary endpoints that a request may be sent to; none for most requests. */
   canaries (placement: Placement): readonly EndpointView[]
-  /** A request was sent to one of them. */
+  /** Called after a request was sent to a canary endpoint. */
   spent (placement: Placement): void
 }
 
@@ -42,39 +42,40 @@
   table: EndpointTable
   router: Router
   prefixes: PrefixIndex
-  /** Finds the endpoint that a prompt's shared part is kept at, whoever sent it there. Default: none is known. */
+  /** Returns the home of a prompt's shared prefix: the endpoint that all daemons send it to. Default: none. */
   home? (parts: readonly PromptPart[], candidates: readonly EndpointView[]): EndpointView | undefined
-  /** Sends granted requests to a version on trial. Default: there is none. */
+  /** Selects requests for canary endpoints. Default: no version is on trial. */
   canaries?: CanaryGate
-  /** Makes the queue of one pool. Default: {@linkcode FairQueue}. */
+  /** Creates the queue of a pool. Default: {@linkcode FairQueue}. */
   queue?: () => WorkQueue<Placement>
 }
 
 /**
- * Urgent requests that may wait for a batch slot at an endpoint, beside those that have one.
+ * Urgent requests that may queue at an endpoint in excess of its batch slots.
  *
- * There they get the next slot that comes free, before all others. Held back here they would start when word of that slot comes, at the same moment as those of all
- * other daemons. Endpoints queue a few requests more than they have slots for.
+ * The endpoint gives them the next free slot ahead of all other requests. If they were queued here instead, every daemon would send its own at the moment the news
+ * of the free slot arrives. Endpoints can queue a few requests more than they have slots.
  */
-const WAIT_AT_ENDPOINT = 12
+const MAX_URGENT_WAITING = 12
 /**
- * Shared prompt tokens from which the home of a prompt is looked for among all endpoints, and not among those that this daemon connects to.
+ * Least number of shared prompt tokens for which the home is chosen from all endpoints of the pool, rather than from those that this daemon is connected to.
  *
- * With more endpoints than a daemon connects to, each daemon finds another home among its own, and a part that hundreds of requests share is read at dozens of
- * endpoints. Reading so many takes an engine ten times as long as a new connection.
+ * When there are more endpoints than a daemon connects to, daemons that choose from their own connections choose different homes, and a prefix shared by hundreds
+ * of requests is prefilled at dozens of endpoints. Prefilling this many tokens takes an engine ten times as long as opening a connection.
  */
-const WORTH_A_CONNECTION_TOKENS = 2000
+const MIN_TOKENS_FOR_CONNECTION = 2000
+/** Weight of the latest sample in the moving average of the time between starts. */
 const RATE_SMOOTHING = 0.2
-/** Longest wait of fresh work, in first-token targets; see docs/design/limits.md. */
-const QUEUE_TARGETS = 1
-const LEAST_RETRY_AFTER_MS = 500
+/** Longest time that a new request may be queued, as a multiple of its first-token target. See docs/design/limits.md. */
+const MAX_WAIT_IN_TARGETS = 1
+const MIN_RETRY_AFTER_MS = 500
 const SWEEP_MS = 250
 
-/** Endpoints to choose from, and prompt tokens that each is believed to hold. */
-interface Look { candidates: readonly EndpointView[], cached: Map<EndpointId, number> }
+/** Endpoints to choose from, and the number of prompt tokens that each is expected to have cached. */
+interface CandidateSet { candidates: readonly EndpointView[], cached: Map<EndpointId, number> }
 interface PoolState { queue: WorkQueue<Placement>, msPerStart: number, lastStartMs: number }
 
-/** Routes or queues placements, one queue for each pool. */
+/** Routes placements to endpoints, with one queue per pool. */
 export class Dispatcher {
   readonly #options: DispatcherOptions
   readonly #pools = new Map<PoolName, PoolState>()
@@ -84,44 +85,44 @@
     this.#options = options
   }
 
-  /** Requests that wait. */
+  /** Number of queued requests. */
   get queued (): number {
     return [...this.#pools.values()].reduce((sum, pool) => sum + pool.queue.length, 0)
   }
 
-  /** Requests that wait for one pool. */
+  /** Number of requests queued for a pool. */
   queuedIn (pool: PoolName): number {
     return this.#pools.get(pool)?.queue.length ?? 0
   }
 
-  /** Places a request now, queues it, or refuses it at once when it could not start in time. */
+  /** Starts a request, queues it, or refuses it at once if it is not expected to start in time. */
   place (placement: Placement): void {
-    const pool = this.#pool(placement.pool)
+    const pool = this.#poolState(placement.pool)
     if (pool.queue.length === 0 && this.#start(placement, pool)) return
     const { urgent } = placement.cls
     const ahead = pool.queue.ahead(placement.account, urgent)
     const waitMs = (ahead + 1) * pool.msPerStart
-    const startByMs = latestStart(placement)
+    const startByMs = latestStartMs(placement)
     if (steadyNow() + waitMs > startByMs) {
-      placement.refused('no room in time', Math.max(LEAST_RETRY_AFTER_MS, waitMs))
+      placement.refused('no room in time', Math.max(MIN_RETRY_AFTER_MS, waitMs))
       return
     }
-    pool.queue.push({ account: placement.account, tokens: workOf(placement), startByMs, urgent, item: placement })
+    pool.queue.push({ account: placement.account, tokens: totalTokens(placement), startByMs, urgent, item: placement })
     placement.waits({ ahead, expectedMs: waitMs, latestStartInMs: startByMs - steadyNow(), candidates: this.#options.table.candidates(placement.pool).length })
-    this.#sweepLater()
+    this.#scheduleSweep()
   }
 
-  /** Starts what can start; called whenever room may have appeared. */
+  /** Starts queued requests that now have room and refuses those that are too late. Must be called whenever room may have become free. */
   pump (): void {
     const now = steadyNow()
     for (const pool of this.#pools.values()) {
-      for (const late of pool.queue.expire(now)) late.item.refused('no room in time', Math.max(LEAST_RETRY_AFTER_MS, pool.msPerStart))
+      for (const late of pool.queue.expire(now)) late.item.refused('no room in time', Math.max(MIN_RETRY_AFTER_MS, pool.msPerStart))
       this.#drain(pool)
     }
   }
 
-  /** Removes a request that gave up. */
-  forget (placement: Placement): void {
+  /** Removes a request from the queue, if it is queued. */
+  remove (placement: Placement): void {
     for (const pool of this.#pools.values()) {
       const entry = findEntry(pool.queue, placement)
       if (entry) pool.queue.remove(entry)
@@ -134,10 +135,10 @@
 
   #start (placement: Placement, pool: PoolState): boolean {
     const now = steadyNow()
-    return this.#startCanary(placement, now) || this.#startAt(placement, { pool, now, ...this.#look(placement, now) })
+    return this.#startCanary(placement, now) || this.#startAt(placement, { pool, now, ...this.#candidatesFor(placement, now) })
   }
 
-  /** A request that was sent somewhere before is not tried out on another version. */
+  /** Sends a request to a canary endpoint. Requests that an earlier attempt was made for are excluded. */
   #startCanary (placement: Placement, now: number): boolean {
     const { canaries: gate, prefixes } = this.#options
     if (!gate || placement.resumed || placement.avoid.length > 0) return false
@@ -148,40 +149,40 @@
     return started
   }
 
-  #startAt (placement: Placement, { pool, now, candidates, cached }: Look & { pool: PoolState | undefined, now: number }): boolean {
+  #startAt (placement: Placement, { pool, now, candidates, cached }: CandidateSet & { pool: PoolState | undefined, now: number }): boolean {
     const withRoom = candidates.filter((view) => hasRoom(view, placement.cls.urgent))
-    // Once every endpoint has failed the request, the least bad is tried again; the retry budget bounds how often.
-    const failed = failedAt(placement, withRoom)
+    // When every endpoint with room has failed the request before, all of them are candidates again; the retry budget limits how often.
+    const failed = failedEndpoints(placement, withRoom)
     const avoid = failed.length < withRoom.length ? failed : []
     const route = this.#options.router.pick({
       promptTokens: placement.demand.promptTokens + placement.doneTokens,
       expectedTokens: remainingTokens(placement),
-      firstTokenMs: firstTokenWithin(placement, now),
+      firstTokenMs: remainingFirstTokenMs(placement, now),
       lane: placement.cls.urgent ? 'urgent' : 'normal',
       betweenTokensMs: placement.cls.latency.betweenTokensMs,
       avoid,
       cachedTokens: (id) => cached.get(id) ?? 0
     }, withRoom, now)
     if (!route) return false
-    if (pool) measureRate(pool, now)
+    if (pool) updateStartRate(pool, now)
     this.#options.prefixes.record(placement.demand.parts, route.view.id, now)
     placement.placed(route.view, route)
     return true
   }
 
-  /** Endpoints that may take a request, and prompt tokens that they are believed to hold: what this daemon sent there, and at its home what the others did. */
-  #look ({ demand, pool }: Placement, now: number): Look {
+  /** Returns the endpoints that may take a request with their expected cached tokens: prefixes sent by this daemon, and at the home those sent by any daemon. */
+  #candidatesFor ({ demand, pool }: Placement, now: number): CandidateSet {
     const { table, prefixes } = this.#options
     const cached = prefixes.lookup(demand.parts, now)
     const candidates = table.candidates(pool)
     const shared = demand.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0)
-    const home = this.#options.home?.(demand.parts, shared >= WORTH_A_CONNECTION_TOKENS ? table.usable(pool) : candidates)
+    const home = this.#options.home?.(demand.parts, shared >= MIN_TOKENS_FOR_CONNECTION ? table.usable(pool) : candidates)
     if (!home) return { candidates, cached }
     cached.set(home.id, Math.max(shared, cached.get(home.id) ?? 0))
     return { candidates: candidates.includes(home) ? candidates : [...candidates, home], cached }
   }
 
-  #pool (name: PoolName): PoolState {
+  #poolState (name: PoolName): PoolState {
     let pool = this.#pools.get(name)
     if (!pool) {
       pool = { queue: this.#options.queue?.() ?? new FairQueue(), msPerStart: 0, lastStartMs: steadyNow() }
@@ -190,44 +191,46 @@
     return pool
   }
 
-  /** Nothing signals that a deadline passed or an ejection ended, so waiting work is looked at now and then. */
-  #sweepLater (): void {
+  /** Polls the queues, since no event signals that a deadline has passed or an ejection has ended. */
+  #scheduleSweep (): void {
     if (this.#sweepTimer !== undefined) return
     this.#sweepTimer = setTimeout(() => {
       this.#sweepTimer = undefined
       this.pump()
-      if (this.queued > 0) this.#sweepLater()
+      if (this.queued > 0) this.#scheduleSweep()
     }, SWEEP_MS)
   }
 }
 
-/** Endpoints that failed the request; one that started again since is no better bet than before. */
-function failedAt ({ avoid }: Placement, candidates: readonly EndpointView[]): EndpointId[] {
+/** Returns the endpoints that failed the request before, including those that have restarted since: a restart does not make success more likely. */
+function failedEndpoints ({ avoid }: Placement, candidates: readonly EndpointView[]): EndpointId[] {
   return candidates.filter((view) => avoid.some((id) => id === view.id || (view.name !== undefined && isStartOf(view.name, id)))).map(({ id }) => id)
 }
 
 function hasRoom (view: EndpointView, urgent: boolean): boolean {
-  return runningNow(view) < view.speed.batchSlots + (urgent ? WAIT_AT_ENDPOINT : 0)
+  return runningNow(view) < view.speed.batchSlots + (urgent ? MAX_URGENT_WAITING : 0)
 }
 
 /**
- * Fresh work waits for as long as its first token would still come within the target, and no longer: a queue as long as the
- * deadline answers no more requests, and all of them late.
+ * Returns the time until which a request may be queued, in milliseconds on the steady clock.
+ *
+ * A new request waits only while it can still meet its first-token target. Queueing up to the deadline would not answer more requests and would
+ * make all of them late.
  */
-function latestStart (placement: Placement): number {
+function latestStartMs (placement: Placement): number {
   const { latency } = placement.cls
   const runMs = latency.betweenTokensMs === undefined ? 0 : remainingTokens(placement) * latency.betweenTokensMs / 2
   const byDeadline = placement.deadlineAtMs - Math.min(runMs, latency.deadlineMs / 2)
   if (placement.resumed) return byDeadline
-  return Math.min(byDeadline, placement.acceptedAtMs + latency.firstTokenMs * QUEUE_TARGETS)
+  return Math.min(byDeadline, placement.acceptedAtMs + latency.firstTokenMs * MAX_WAIT_IN_TARGETS)
 }
 
-/** What is left of the target; a stream that goes on elsewhere gets the whole of it again. */
-function firstTokenWithin ({ cls, acceptedAtMs, resumed }: Placement, now: number): number {
+/** Returns what remains of the first-token target, in milliseconds. A resumed stream gets the full target again. */
+function remainingFirstTokenMs ({ cls, acceptedAtMs, resumed }: Placement, now: number): number {
   return cls.latency.firstTokenMs - (resumed ? 0 : now - acceptedAtMs)
 }
 
-function workOf (placement: Placement): number {
+function totalTokens (placement: Placement): number {
   return placement.demand.promptTokens + placement.doneTokens + remainingTokens(placement)
 }
 
@@ -235,7 +238,7 @@
   return Math.max(0, demand.expectedTokens - doneTokens)
 }
 
-function measureRate (pool: PoolState, now: number): void {
+function updateStartRate (pool: PoolState, now: number): void {
   if (pool.queue.length > 0) pool.msPerStart += RATE_SMOOTHING * (now - pool.lastStartMs - pool.msPerStart)
   pool.lastStartMs = now
 }
--- a/daemon/request/dispatcher_test.ts
+++ b/daemon/request/dispatcher_test.ts
@@ -38,8 +38,8 @@
   }
 }
 
-test('a request that failed at an endpoint goes elsewhere, and not to the same one that has just started again', () => {
-  // Guards against sending a request again to an endpoint that crashed with it and has started anew.
+test('a request that failed at an endpoint is not retried at the same endpoint after a restart', () => {
+  // Guards against retrying a request at an endpoint that crashed while running it and has restarted.
   const placedAt = new Set<EndpointId>()
   for (let seed = 1; seed <= 20; seed++) {
     const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
@@ -51,7 +51,7 @@
   expect([...placedAt]).toEqual([endpointId('other', 1000)])
 })
 
-test('only a fresh request is tried out on another version, and only where that one has room', () => {
+test('only a request without earlier attempts is sent to a canary endpoint, and only if the endpoint has room', () => {
   const [OLD, NEW] = [as<EndpointVersion>('v1'), as<EndpointVersion>('v2')]
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
   const host = (name: string, version: EndpointVersion) => {
--- a/daemon/request/live_answer.ts
+++ b/daemon/request/live_answer.ts
@@ -1,37 +1,37 @@
-/** An answer that is still growing, held here or at another daemon. */
+/** Answers that may still grow, held by this daemon or mirrored from another. */
 import type { RequestId } from '../../core/ids/index.ts'
 import type { Outcome } from '../../core/outcome/index.ts'
 
-/** The last word on a request. */
+/** The final result of a request. */
 export interface FinalWord {
   outcome: Outcome
   reason: string
   retryAfterMs: number | undefined
-  /** The request that holds the answer, when the idempotency key was used before. */
+  /** The request that holds the answer, if the idempotency key was used before. */
   repeats?: RequestId
-  /** True when the key was used before with another body. */
+  /** True if the idempotency key was used before with a different body. */
   otherBody?: boolean
 }
 
-/** What a caller's connection follows. */
+/** An answer that callers read while it is produced. */
 export interface LiveAnswer {
   readonly id: RequestId
   readonly tokens: readonly string[]
-  /** Set once, when nothing more will come. */
+  /** Set once, when the answer is complete or has failed. */
   readonly final: FinalWord | undefined
-  /** True once an endpoint works on it. */
+  /** True once an attempt has started. */
   readonly started: boolean
-  /** True once another daemon carries it on: the caller resumes there. */
+  /** True once another daemon has taken over; callers resume there. */
   readonly movedAway: boolean
-  /** Calls the listener after each change; returns a function that stops it. */
+  /** Calls the listener after each change. Returns a function that removes the listener. */
   subscribe (listener: () => void): () => void
 }
 
-/** Keeps the listeners of an answer. */
+/** The set of listeners of an answer. */
 export class Listeners {
   readonly #listeners = new Set<() => void>()
 
-  /** Listeners now. */
+  /** Number of listeners. */
   get size (): number { return this.#listeners.size }
 
   add (listener: () => void): () => void {
@@ -44,7 +44,7 @@
   }
 }
 
-/** Mirror of an answer that another daemon holds. */
+/** Mirror of an answer held by another daemon. */
 export class RemoteAnswer implements LiveAnswer {
   readonly id: RequestId
   readonly tokens: string[] = []
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Takes in what the holder sent; offsets make a doubled part harmless.
+   * Applies a part sent by the holder. Offsets make duplicate parts harmless.
    *
-   * A part that is missing would leave the caller with a torn answer that ends as if it were whole: the mirror is cut instead, and the
-   * caller resumes from what it has.
+   * A missing part would leave the caller with a gap in an answer that looks complete. The mirror is therefore cut, and the caller
+   * resumes from what it has received.
    */
   take (part: AnswerPart): void {
     if (this.movedAway) return
@@ -77,19 +77,19 @@
     this.#listeners.notify()
   }
 
-  /** The holder cannot be reached: the caller asks again, and by then its heir may hold the answer. */
+  /** Ends the mirror because the holder is unreachable. Callers ask again, and by then the holder's heir may have the answer. */
   cut (): void {
     if (this.final) return
     this.movedAway = true
     this.#listeners.notify()
   }
 
-  /** The holder is gone and nobody carries the answer on. */
-  lose (reason: string): void {
+  /** Ends the mirror with the outcome `unknown`, because no daemon holds the answer any more. */
+  markLost (reason: string): void {
     this.final ??= { outcome: 'unknown', reason, retryAfterMs: undefined }
     this.#listeners.notify()
   }
 }
 
-/** Part of an answer on its way between daemons. */
+/** Part of an answer, as sent between daemons. */
 export interface AnswerPart { offset: number, tokens: readonly string[], started: boolean, movedAway: boolean, final: FinalWord | undefined }
--- a/daemon/request/many_daemons_test.ts
+++ b/daemon/request/many_daemons_test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from 'vitest'
 import { playPlacing, type PlacedClass, type PlacedFigures } from '../../bench/_placing.ts'
 
-// Guards against many daemons sending to the same endpoint at once, by word in which the others' work does not show yet.
+// Guards against many daemons sending to the same endpoint at once, because the load reports they choose by do not include each other's latest requests.
 
 const ENGINE = { slots: 12, queue: 25, readTokensPerMs: 125, firstMs: 62, pieceMs: 30, pieceMsPerRequest: 0.75 }
 const ENGINES = 27
 const SEEDS = [1, 2, 3]
-/** Part of what nine daemons serve in time that a fleet of any size must serve: what is asked of its days. */
+/** Least in-time rate of a fleet of any size, as a fraction of the rate with nine daemons. */
 const LEAST_PART = 0.9
 
-/** Four and five parts in ten more than what fills the engines to two thirds. */
+/** Multiples of the load that uses two thirds of the engines' capacity. */
 const LOADS = [1.4, 1.5]
 
 function classesOf (times: number): PlacedClass[] {
@@ -19,7 +19,7 @@
   ]
 }
 
-/** Part of each class's requests whose first token came in time, over all seeds. */
+/** Returns the fraction of each class's requests whose first token came in time, over all seeds. */
 function inTime (fleet: { daemons: number, times: number }): Record<string, number> {
   const days = SEEDS.map((seed) => playPlacing({ ...fleet, seed, engines: ENGINES, engine: ENGINE, classes: classesOf(fleet.times), spanMs: 20_000, warmMs: 2000 }))
   const sum = (name: string, of: (figures: PlacedFigures) => number) => days.reduce((total, day) => total + of(day.get(name)!), 0)
@@ -28,7 +28,7 @@
 
 const withNine = new Map(LOADS.map((times) => [times, inTime({ daemons: 9, times })]))
 
-test.each([83, 195, 420])('%d daemons serve as much of a heavy load as nine do', (daemons) => {
+test.each([83, 195, 420])('%d daemons serve nearly as much of a heavy load in time as nine do', (daemons) => {
   for (const times of LOADS) {
     const few = withNine.get(times)!
     const many = inTime({ daemons, times })
--- a/daemon/request/piece_times.ts
+++ b/daemon/request/piece_times.ts
@@ -1,19 +1,19 @@
-/** When the pieces of a stream came. */
+/** Arrival times of the pieces of a stream. */
 
-/** Times of one stream's pieces, in milliseconds on the steady clock. */
+/** Tracks when the pieces of one stream arrive, in milliseconds on the steady clock. */
 export class PieceTimes {
-  /** When the first came; undefined before it did. */
+  /** When the first piece arrived; undefined until then. */
   firstAtMs: number | undefined
-  /** When the last came so far. */
+  /** When the latest piece arrived; undefined before the first. */
   lastAtMs: number | undefined
-  /** Longest time between two of them; undefined before the second. */
+  /** Longest time between two consecutive pieces; undefined before the second. */
   longestPauseMs: number | undefined
 
   /**
-   * A piece came.
-   * @returns The pause before it; undefined for the first.
+   * Records the arrival of a piece.
+   * @returns The pause since the previous piece in milliseconds; undefined for the first piece.
    */
-  came (now: number): number | undefined {
+  record (now: number): number | undefined {
     const pauseMs = this.lastAtMs === undefined ? undefined : now - this.lastAtMs
     if (pauseMs !== undefined) this.longestPauseMs = Math.max(this.longestPauseMs ?? 0, pauseMs)
     this.firstAtMs ??= now
--- a/daemon/request/placing_dispatcher.ts
+++ b/daemon/request/placing_dispatcher.ts
@@ -1,34 +1,34 @@
-/** The dispatcher of a daemon that shares endpoints with many others. */
+/** Creates the dispatcher of a daemon that shares its endpoints with other daemons. */
 import type { FailureDomain } from '../../core/ids/index.ts'
 import { homeEndpoint, PrefixIndex, TargetRouter, type Hash32, type Random } from '../../core/routing/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 import { Dispatcher, type CanaryGate } from './dispatcher.ts'
 
-/** Options of {@linkcode placingDispatcher}. */
+/** Options of {@linkcode createSharedDispatcher}. */
 export interface PlacingDispatcherOptions {
   table: EndpointTable
   hash: Hash32
   random: Random
-  /** Where this daemon runs. */
+  /** Failure domain that this daemon runs in. */
   failureDomain: FailureDomain
-  /** Daemons that share the endpoints, this one included. */
+  /** Returns the number of daemons that share the endpoints, including this one. */
   sharers (): number
-  /** Default: no version is on trial. */
+  /** Selects requests for canary endpoints. Default: no version is on trial. */
   canaries?: CanaryGate | undefined
 }
 
-/** Time there and back between two failure domains of one region, in milliseconds, to weigh against waiting. */
-const FAR_MS = 3
-/** A prompt's part that nobody used for this long has probably yielded to others, in milliseconds. */
-const PREFIX_KEPT_MS = 15_000
+/** Round-trip time between two failure domains of a region, in milliseconds. The router weighs it against queueing time. */
+const CROSS_DOMAIN_RTT_MS = 3
+/** Time after which an unused prompt prefix has probably been evicted from an endpoint's cache, in milliseconds. */
+const PREFIX_EXPIRES_MS = 15_000
 
-/** Makes it. */
+/** Creates a dispatcher that routes by prefix cache, predicted first-token time and distance. */
 export function placingDispatcher ({ table, hash, random, failureDomain, sharers, canaries }: PlacingDispatcherOptions): Dispatcher {
   return new Dispatcher({
     table,
-    prefixes: new PrefixIndex({ expiresMs: PREFIX_KEPT_MS }),
+    prefixes: new PrefixIndex({ expiresMs: PREFIX_EXPIRES_MS }),
     home: (parts, candidates) => homeEndpoint(parts, candidates, hash),
     ...(canaries && { canaries }),
-    router: new TargetRouter({ random, sharers, wayMs: (view) => (view.failureDomain === failureDomain ? 0 : FAR_MS) })
+    router: new TargetRouter({ random, sharers, wayMs: (view) => (view.failureDomain === failureDomain ? 0 : CROSS_DOMAIN_RTT_MS) })
   })
 }
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -1,4 +1,4 @@
-/** Carries one request through its life: runs the effects of the core's state machine and feeds it what happens. */
+/** Drives one request: executes the effects of the core's state machine and feeds events back to it. */
 import { AnswerBuffer, type AnswerBufferOptions, type AnswerHead, type WholeAnswer } from '../../core/answer/index.ts'
 import type { EndpointId, EndpointVersion, PoolName, RequestId } from '../../core/ids/index.ts'
 import { AttemptError, isBrokenOff, isOwnWord, outcomeAt, reachedEndpoint, type FailurePoint } from '../../core/outcome/index.ts'
@@ -14,44 +14,44 @@
 import { Listeners, type FinalWord } from './live_answer.ts'
 import { PieceTimes } from './piece_times.ts'
 import { RequestDecisions } from './request_decisions.ts'
-import { endEvent, startEvent } from './_request_events.ts'
-import { QUARANTINED, type Decision, type RequestPorts, type Work } from './work.ts'
+import { attemptStartedEvent, requestEndedEvent } from './_request_events.ts'
+import { QUARANTINED_REASON, type Decision, type RequestPorts, type Work } from './work.ts'
 
 /** Options of {@linkcode RequestTask}. */
 export interface RequestTaskOptions<P> extends AnswerBufferOptions<P> {
   work: Work
   runner: AttemptRunner<P>
   ports: RequestPorts
-  /** Milliseconds until the deadline. Default: the class's. */
+  /** Milliseconds until the deadline. Default: the deadline of the request's class. */
   deadlineInMs?: number
 }
 
-/** Endpoints that a request may find unreachable before tries elsewhere count as retries. */
-const FREE_TRIES = 3
-/** The lowest status that is no success. */
-const REDIRECT = 300
+/** Number of unreachable endpoints after which further attempts are charged to the retry budget. */
+const MAX_FREE_RETRIES = 3
+/** Lowest status code that does not indicate success. */
+const FIRST_REDIRECT_STATUS = 300
 
-/** One request. Owns its answer, its timer and its attachment to an endpoint. */
+/** One request. Owns its answer, its deadline timer and its connection to an endpoint. */
 export class RequestTask<P = string> {
   readonly work: Work
   readonly answer: AnswerBuffer<P>
   readonly acceptedAtMs = steadyNow()
   readonly #decisions: RequestDecisions
-  /** Status and headers of the attempt whose piece was the first, where the protocol has them. */
+  /** Status and headers from the attempt that delivered the first piece, if the protocol has them. */
   head: AnswerHead | undefined
-  /** The last failure answer that an endpoint gave itself. */
+  /** The last error response sent by an endpoint. */
   failureAnswer: WholeAnswer | undefined
   final: FinalWord | undefined
   movedAway = false
-  /** Set before a move whose KV cache is already at the target. */
+  /** Set before a migration whose KV cache is already at the target. */
   kvHandle: string | undefined
-  /** Called once, when the final word is known. */
+  /** Called once, when the final result is known. */
   onFinish: () => void = () => {}
   /** Called after each attempt was sent. */
   onAttempt: () => void = () => {}
-  /** Called once, with the first word of an endpoint that shows that it began to work on the request. */
+  /** Called once, on the first sign that an endpoint has begun to work on the request. */
   onBegun: () => void = () => {}
-  /** True while its KV cache is on its way; a new plan leaves it alone. */
+  /** True while the KV cache is being exported. Migration plans skip the request meanwhile. */
   exporting = false
   protected readonly ports: RequestPorts
   protected lifecycle: RequestState
@@ -62,7 +62,7 @@
   #handling = false
   readonly #deadlineTimer: NodeJS.Timeout
   #placement: Placement | undefined
-  readonly #charge: EndpointCharge
+  readonly #tracker: EndpointCharge
   #route: Route | undefined
   readonly #pieces = new PieceTimes()
   #hasBegun = false
@@ -72,8 +72,8 @@
     this.work = work
     this.ports = ports
     this.#decisions = new RequestDecisions(work.id)
-    this.#charge = new EndpointCharge(ports.table)
-    this.#charge.onFirst = (endpoint, times) => this.#answered(endpoint, times)
+    this.#tracker = new EndpointCharge(ports.table)
+    this.#tracker.onFirstAnswer = (endpoint, times) => this.#reportFirstAnswer(endpoint, times)
     this.#runner = runner
     this.answer = new AnswerBuffer<P>(options)
     const deadlineInMs = options.deadlineInMs ?? work.cls.latency.deadlineMs
@@ -92,38 +92,38 @@
   get id (): RequestId { return this.work.id }
   get state (): RequestState { return this.lifecycle }
   get started (): boolean { return this.lifecycle.attempt > 0 }
-  /** Tokens in the KV cache of the stream, by the answer's pieces so far. */
+  /** Estimated number of tokens in the stream's KV cache, from the pieces received so far. */
   get kvTokens (): number { return this.work.demand.promptTokens + this.answer.length }
-  /** The endpoint that runs it now. */
+  /** The endpoint that runs the current attempt. */
   get runningAt (): EndpointId | undefined { return this.lifecycle.phase === 'running' ? this.lifecycle.endpoint : undefined }
 
-  /** How the running attempt has shown itself. */
-  get pulse (): AttemptPulse | undefined { return this.lifecycle.phase === 'running' ? this.#charge.pulse : undefined }
+  /** Progress of the running attempt; undefined while none runs. */
+  get progress (): AttemptPulse | undefined { return this.lifecycle.phase === 'running' ? this.#tracker.progress : undefined }
 
   /**
-   * The running attempt went silent: repeats it elsewhere, or leaves it, where that is not allowed or nowhere else is.
+   * Handles a running attempt that has gone silent: retries it at another endpoint, or keeps waiting if a retry isn't allowed or no other endpoint is usable.
    *
-   * What may not run twice waits on: silence is no proof that it does not run, and its answer may still come.
+   * A non-idempotent request keeps waiting, since silence does not prove that it isn't running, and its answer may still arrive.
    */
-  stalled (): void {
+  handleStall (): void {
     const { attempt, endpoint } = this.lifecycle
     const { table, budget } = this.ports
-    if (endpoint === undefined || !this.mayMoveOn || !mayRepeat(this.lifecycle, 'timeout-after-send')) return
+    if (endpoint === undefined || !this.mayRetryElsewhere || !mayRepeat(this.lifecycle, 'timeout-after-send')) return
     const now = steadyNow()
     const elsewhere = table.candidates(this.work.pool).some((view) => view.id !== endpoint && view.ejectedUntilMs <= now)
     if (!elsewhere || !budget.spend(table.isGone(endpoint))) return
     this.attachment?.detach()
     this.ports.crashes.failed({ id: endpoint, view: table.get(endpoint) }, 'timeout-after-send', this.work.fingerprint)
-    this.#fail(endpoint, new AttemptError('Cannot wait: the attempt went silent', { point: 'timeout-after-send' }), { attempt, repeat: 'allowed' })
+    this.#recordFailure(endpoint, new AttemptError('Cannot wait: the attempt went silent', { point: 'timeout-after-send' }), { attempt, repeat: 'allowed' })
   }
 
-  /** A version that runs it shall do no more work: a stream that can be resumed goes on elsewhere. */
+  /** Moves a resumable stream to another endpoint if its current one runs a version that must receive no more work. */
   leaveVersion (pool: PoolName, version: EndpointVersion): void {
     const view = this.runningAt && this.ports.table.get(this.runningAt)
     if (view?.pool === pool && view.version === version && mayMove(this.lifecycle)) this.post({ type: 'hold' })
   }
 
-  /** Calls the listener after each change; the request's caller has left once nobody listens. */
+  /** Calls the listener after each change. The caller counts as gone once the last listener is removed. */
   subscribe (listener: () => void): () => void {
     const stop = this.listeners.add(listener)
     return () => {
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Takes one message; messages that arrive while one is handled wait their turn. */
+  /** Processes a message. Messages posted while another one is processed are queued. */
   post (msg: RequestMessage): void {
     this.#inbox.push(msg)
     if (this.#handling) return
@@ -141,46 +141,46 @@
     this.#handling = false
   }
 
-  /** What was decided about the request so far. */
+  /** The decision log of the request. */
   get decisions (): Decision[] { return this.#decisions.all }
 
-  /** Logs a decision about this request and keeps it. */
+  /** Logs a decision about the request and appends it to the decision log. */
   decide<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): void {
     this.#decisions.add(event, fields)
   }
 
-  /** Stops at once without a word to anybody. */
+  /** Stops at once and notifies nobody. */
   abandon (): void {
     this.attachment?.detach()
-    this.retire()
+    this.deactivate()
   }
 
-  /** Counts an attempt that another daemon began. */
-  protected adopt (view: EndpointView): void {
-    this.#send(view, { lane: 'normal', tokens: 0 })
+  /** Accounts for an attempt that another daemon started. */
+  protected trackTakenOver (view: EndpointView): void {
+    this.#trackSent(view, { lane: 'normal', tokens: 0 })
   }
 
-  /** Takes no more messages, because somebody else answers for the request. */
-  protected retire (): void {
-    this.#charge.end()
+  /** Stops all activity for the request, because this daemon no longer owns it. */
+  protected deactivate (): void {
+    this.#tracker.end()
     clearTimeout(this.#deadlineTimer)
-    if (this.#placement) this.ports.dispatcher.forget(this.#placement)
+    if (this.#placement) this.ports.dispatcher.remove(this.#placement)
     this.lifecycle = { ...this.lifecycle, phase: 'done' }
   }
 
-  /** False while a failed attempt may not be repeated elsewhere, whatever the budget allows. */
-  protected get mayMoveOn (): boolean { return true }
+  /** False while a failed attempt must not be retried elsewhere, regardless of the retry budget. */
+  protected get mayRetryElsewhere (): boolean { return true }
 
-  /** A piece of the running attempt was taken. */
+  /** Called when a piece arrives. */
   protected onPiece (): void {}
 
   #handle (msg: RequestMessage): void {
     const { state, effects } = step(this.lifecycle, msg, steadyNow())
     this.lifecycle = state
-    for (const effect of effects) this.#run(effect)
+    for (const effect of effects) this.#execute(effect)
   }
 
-  #run (effect: RequestEffect): void {
+  #execute (effect: RequestEffect): void {
     switch (effect.type) {
       case 'claim': return this.#claim()
       case 'place': return this.place(effect.avoid)
@@ -204,10 +204,10 @@
     })
   }
 
-  /** Asks the dispatcher for an endpoint. */
+  /** Asks the dispatcher for an endpoint, unless the request is quarantined. */
   protected place (avoid: readonly EndpointId[]): void {
     const { work, answer } = this
-    if (this.#endIfQuarantined()) return
+    if (this.#refuseIfQuarantined()) return
     this.#placement = {
       account: work.account,
       cls: work.cls,
@@ -218,32 +218,32 @@
       deadlineAtMs: this.lifecycle.traits.deadlineAtMs,
       resumed: this.lifecycle.mayHaveRun,
       avoid,
-      placed: (view, route) => this.#placed(view, route),
+      placed: (view, route) => this.#onPlaced(view, route),
       refused: (reason, retryAfterMs) => this.post({ type: 'refused', reason, retryAfterMs }),
       waits: (queue) => this.decide('request-waits', { pool: work.pool, ...queue })
     }
     this.ports.dispatcher.place(this.#placement)
   }
 
-  /** Which requests are quarantined has changed: ends this one if it is and no endpoint has begun to answer it. */
+  /** Must be called when the set of quarantined requests changes. Ends this request if it is now quarantined and no endpoint has begun to answer it. */
   quarantineChanged (): void {
     const { phase } = this.lifecycle
-    if (phase === 'placing' || (phase === 'running' && this.pulse?.pieceAtMs === undefined)) this.#endIfQuarantined()
+    if (phase === 'placing' || (phase === 'running' && this.progress?.pieceAtMs === undefined)) this.#refuseIfQuarantined()
   }
 
-  #endIfQuarantined (): boolean {
+  #refuseIfQuarantined (): boolean {
     const { metrics, quarantine } = this.ports
     const heldForMs = quarantine.heldForMs(this.work)
     if (heldForMs === undefined) return false
     metrics.held.inc({ class: metrics.labelOf(this.work.cls.name) })
     this.decide('request-held', { fingerprint: this.work.fingerprint(), forMs: Math.round(heldForMs) })
-    this.post({ type: 'quarantined', reason: QUARANTINED, retryAfterMs: heldForMs })
+    this.post({ type: 'quarantined', reason: QUARANTINED_REASON, retryAfterMs: heldForMs })
     return true
   }
 
-  /** It may have waited for room since it was found not to be quarantined. */
-  #placed (view: EndpointView, route: Route): void {
-    if (this.#endIfQuarantined()) return
+  /** Checks the quarantine again, since the request may have been queued since the last check. */
+  #onPlaced (view: EndpointView, route: Route): void {
+    if (this.#refuseIfQuarantined()) return
     this.#route = route
     this.post({ type: 'placed', endpoint: view.id })
   }
@@ -251,11 +251,11 @@
   #start (endpoint: EndpointId, attempt: number, mode: StartMode): void {
     const view = this.ports.table.get(endpoint)
     this.answer.replaceAttempt(attempt)
-    if (!view) return this.#failed(attempt, endpoint, new AttemptError('Cannot start: endpoint is not listed', { point: 'before-send' }))
+    if (!view) return this.#onAttemptError(attempt, endpoint, new AttemptError('Cannot start: endpoint is not listed', { point: 'before-send' }))
     this.ports.metrics.attempts.inc({ mode })
     const lane = this.#route?.lane ?? (this.work.cls.urgent ? 'urgent' : 'normal')
-    this.decide('attempt-started', startEvent(view, { attempt, mode, lane, fromPiece: this.answer.length, route: this.#route, table: this.ports.table }))
-    this.#send(view, { lane, tokens: mode === 'import' ? 0 : this.#route?.uncachedTokens ?? this.kvTokens })
+    this.decide('attempt-started', attemptStartedEvent(view, { attempt, mode, lane, fromPiece: this.answer.length, route: this.#route, table: this.ports.table }))
+    this.#trackSent(view, { lane, tokens: mode === 'import' ? 0 : this.#route?.uncachedTokens ?? this.kvTokens })
     const kvHandle = mode === 'import' ? this.kvHandle : undefined
     this.kvHandle = undefined
     this.attachment = this.#runner.start(view, {
@@ -271,12 +271,12 @@
     this.listeners.notify()
   }
 
-  #send (view: EndpointView, work: SentWork): void {
-    this.#charge.send(view.id, work, this.#route)
+  #trackSent (view: EndpointView, work: SentWork): void {
+    this.#tracker.send(view.id, work, this.#route)
     this.#route = undefined
   }
 
-  /** Takes in what an attempt produces. */
+  /** Creates the sink that receives the output of an attempt. */
   protected sink (endpoint: EndpointId, attempt: number): AttemptSink<P> {
     let head: AnswerHead | undefined
     return {
@@ -285,33 +285,33 @@
         const verdict = this.answer.add({ attempt, offset, pieces })
         this.ports.metrics.chunks.inc({ verdict })
         if (verdict === 'taken') this.head ??= head
-        if (attempt === this.lifecycle.attempt) this.#charge.piece()
+        if (attempt === this.lifecycle.attempt) this.#tracker.recordPiece()
         this.onPiece()
-        this.#begun()
-        this.#pieceCame()
+        this.#markBegun()
+        this.#recordPiece()
         this.listeners.notify()
       },
-      onEnd: (total) => this.#ended(endpoint, attempt, { total, head }),
-      onError: (err) => this.#failed(attempt, endpoint, err),
+      onEnd: (total) => this.#onAttemptEnd(endpoint, attempt, { total, head }),
+      onError: (err) => this.#onAttemptError(attempt, endpoint, err),
       onLoad: (load) => this.ports.table.loaded(endpoint, load)
     }
   }
 
-  /** What is learnt of one endpoint would make a version look right that is slow at each of its endpoints. */
-  #answered (endpoint: EndpointId, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
+  /** Reports the first answer with the prediction uncorrected by the endpoint's learnt slowness, which would hide a version that is slow at all its endpoints. */
+  #reportFirstAnswer (endpoint: EndpointId, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
     const view = this.ports.table.get(endpoint)
     if (view) this.ports.answers?.answered(view, this.work.cls.name, { tookMs, predictedMs: predictedMs / view.slowness })
   }
 
-  #begun (): void {
+  #markBegun (): void {
     if (this.#hasBegun) return
     this.#hasBegun = true
     this.onBegun()
   }
 
-  #pieceCame (): void {
+  #recordPiece (): void {
     const now = steadyNow()
-    if (this.#pieces.came(now) !== undefined) return
+    if (this.#pieces.record(now) !== undefined) return
     const { metrics } = this.ports
     const { name, latency } = this.work.cls
     const firstMs = now - this.acceptedAtMs
@@ -319,49 +319,49 @@
     metrics.firstPieces.inc({ class: metrics.labelOf(name), within_target: firstMs <= latency.firstTokenMs ? 'yes' : 'no' })
   }
 
-  #ended (endpoint: EndpointId, attempt: number, end: { total: number, head: AnswerHead | undefined }): void {
+  #onAttemptEnd (endpoint: EndpointId, attempt: number, end: { total: number, head: AnswerHead | undefined }): void {
     if (attempt !== this.lifecycle.attempt) return
     this.answer.end(attempt, end.total)
-    if (!this.answer.whole) return this.#failed(attempt, endpoint, new AttemptError('Cannot use answer: it is not whole', { point: 'torn-answer' }))
-    this.#begun()
+    if (!this.answer.whole) return this.#onAttemptError(attempt, endpoint, new AttemptError('Cannot use answer: it is incomplete', { point: 'torn-answer' }))
+    this.#markBegun()
     this.head ??= end.head
     this.ports.table.succeeded(endpoint)
-    if (!this.head || this.head.status < REDIRECT) this.ports.quarantine.answered(this.work)
+    if (!this.head || this.head.status < FIRST_REDIRECT_STATUS) this.ports.quarantine.answered(this.work)
     this.post({ type: 'ended', attempt })
   }
 
-  #failed (attempt: number, endpoint: EndpointId, err: AttemptError): void {
+  #onAttemptError (attempt: number, endpoint: EndpointId, err: AttemptError): void {
     if (attempt !== this.lifecycle.attempt || this.lifecycle.phase !== 'running') return
     const { table } = this.ports
     const view = table.get(endpoint)
     if (isOwnWord(err.point)) table.heard(endpoint)
     if (err.point === 'endpoint-leaving' && view) table.leaving([view.hostId], steadyNow() + ASSUMED_NOTICE_MS, 'refusal')
-    // The budget is only asked where the request could use what it grants.
-    const repeatable = this.mayMoveOn && mayRepeat(this.lifecycle, err.point)
-    const retryGranted = repeatable && (this.#isFree(err.point) || this.ports.budget.spend(table.isGone(endpoint)))
+    // Spends from the budget only if the request could use the retry.
+    const repeatable = this.mayRetryElsewhere && mayRepeat(this.lifecycle, err.point)
+    const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.spend(table.isGone(endpoint)))
     this.ports.crashes.failed({ id: endpoint, view }, err.point, this.work.fingerprint)
     if (view && err.point === 'endpoint-error') this.ports.answers?.failed(view, this.work.cls.name)
     table.failed(endpoint)
-    this.#fail(endpoint, err, { attempt, repeat: retryGranted ? 'allowed' : repeatable ? 'over-budget' : 'not-allowed' })
+    this.#recordFailure(endpoint, err, { attempt, repeat: retryGranted ? 'allowed' : repeatable ? 'over-budget' : 'not-allowed' })
   }
 
-  /** What reached no endpoint costs none anything; a few such tries, or one that refuses all connections would be asked for ever. */
-  #isFree (point: FailurePoint): boolean {
-    return !reachedEndpoint(point) && this.lifecycle.avoid.length < FREE_TRIES
+  /** Retries of attempts that reached no endpoint are free, since they cost no endpoint any work. They are limited, or a pool that refuses all connections would be retried forever. */
+  #isFreeRetry (point: FailurePoint): boolean {
+    return !reachedEndpoint(point) && this.lifecycle.avoid.length < MAX_FREE_RETRIES
   }
 
-  #fail (endpoint: EndpointId, err: AttemptError, { attempt, repeat }: Pick<RequestEvents['attempt-failed'], 'attempt' | 'repeat'>): void {
+  #recordFailure (endpoint: EndpointId, err: AttemptError, { attempt, repeat }: Pick<RequestEvents['attempt-failed'], 'attempt' | 'repeat'>): void {
     const { table, metrics } = this.ports
     const retryGranted = repeat === 'allowed'
     this.failureAnswer = err.answer
-    if (outcomeAt(err.point) === 'unknown') this.#begun()
+    if (outcomeAt(err.point) === 'unknown') this.#markBegun()
     this.decide('attempt-failed', {
       attempt,
       endpoint,
       point: err.point,
       why: err.message,
       status: err.answer?.head.status,
-      afterMs: steadyNow() - (this.#charge.sentAtMs ?? this.acceptedAtMs),
+      afterMs: steadyNow() - (this.#tracker.sentAtMs ?? this.acceptedAtMs),
       pieces: this.answer.length,
       endpointLeaving: table.isGone(endpoint),
       ...(isBrokenOff(err.point) && { fingerprint: this.work.fingerprint() }),
@@ -369,14 +369,14 @@
     })
     if (!retryGranted) metrics.retriesDenied.inc({ class: metrics.labelOf(this.work.cls.name) })
     metrics.attemptsFailed.inc({ point: err.point })
-    this.#charge.end()
+    this.#tracker.end()
     this.post({ type: 'failed', attempt, point: err.point, retryGranted })
   }
 
   #stop (endpoint: EndpointId, attempt: number): void {
     this.attachment?.detach()
     this.attachment = undefined
-    this.#charge.end()
+    this.#tracker.end()
     const view = this.ports.table.get(endpoint)
     if (view) this.ports.crashes.gaveUp(view, this.work.fingerprint())
     if (!view || !this.lifecycle.traits.movable) return this.post({ type: 'stopped', attempt, confirmed: false })
@@ -392,19 +392,19 @@
     if (this.final) return
     this.final = final
     this.attachment = undefined
-    if (this.#placement) this.ports.dispatcher.forget(this.#placement)
-    if (final.outcome === 'answered') this.#charge.read()
-    this.#charge.end()
+    if (this.#placement) this.ports.dispatcher.remove(this.#placement)
+    if (final.outcome === 'answered') this.#tracker.read()
+    this.#tracker.end()
     this.lifecycle = { ...this.lifecycle, phase: 'done', outcome: final.outcome }
-    this.decide('request-ended', endEvent(this, { final, pieces: this.#pieces }))
-    this.#countEnd(final)
+    this.decide('request-ended', requestEndedEvent(this, { final, pieces: this.#pieces }))
+    this.#recordFinish(final)
     this.onFinish()
     this.ports.dispatcher.pump()
     this.listeners.notify()
   }
 
-  /** A repeated key is answered by the request that it repeats: counted as not run, it would look like a missed target. */
-  #countEnd (final: FinalWord): void {
+  /** Counts the result. A repeated idempotency key, which the earlier request answers, is counted as `repeated`: as `not-run` it would look like a missed target. */
+  #recordFinish (final: FinalWord): void {
     const { metrics } = this.ports
     const cls = metrics.labelOf(this.work.cls.name)
     const repeated = final.repeats !== undefined || final.otherBody === true
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -10,7 +10,7 @@
 import type { CrashWatch, QuarantineTask } from '../quarantine/index.ts'
 import type { Dispatcher, Placement } from './dispatcher.ts'
 import { RequestTask } from './request_task.ts'
-import { QUARANTINED } from './work.ts'
+import { QUARANTINED_REASON } from './work.ts'
 
 const E1 = as<EndpointId>('e1')
 const HELD_MS = 5000
@@ -21,8 +21,8 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-/** A letter whose placing and endpoint the test plays. */
-function letter () {
+/** Creates a request with a simulated dispatcher and endpoint. */
+function createRequest () {
   const placements: Placement[] = []
   const sinks: Array<AttemptSink<string>> = []
   const stopped: EndpointId[] = []
@@ -40,7 +40,7 @@
     },
     ports: {
       table,
-      dispatcher: { place: (placement: Placement) => { placements.push(placement) }, forget: () => {}, pump: () => {} } as Partial<Dispatcher> as Dispatcher,
+      dispatcher: { place: (placement: Placement) => { placements.push(placement) }, remove: () => {}, pump: () => {} } as Partial<Dispatcher> as Dispatcher,
       budget: { earn: () => {}, spend: () => true },
       metrics: createMetrics(),
       crashes: { gaveUp: () => {} } as Partial<CrashWatch> as CrashWatch,
@@ -51,27 +51,27 @@
   return { task, placements, sinks, stopped, held }
 }
 
-test('a request that is quarantined while it waits for room is sent to no endpoint', () => {
-  const { task, placements, sinks, held } = letter()
+test('a request that is quarantined while queued is not sent to an endpoint', () => {
+  const { task, placements, sinks, held } = createRequest()
   held.forMs = HELD_MS
   placements[0]!.placed(VIEW, ROUTE)
   expect(sinks).toHaveLength(0)
-  expect(task.final).toMatchObject({ outcome: 'not-run', reason: QUARANTINED, retryAfterMs: HELD_MS })
+  expect(task.final).toMatchObject({ outcome: 'not-run', reason: QUARANTINED_REASON, retryAfterMs: HELD_MS })
 })
 
-test('a request that is quarantined before its endpoint has begun to answer is stopped there', () => {
-  const { task, placements, stopped, held } = letter()
+test('a request that is quarantined before its endpoint has begun to answer is stopped', () => {
+  const { task, placements, stopped, held } = createRequest()
   placements[0]!.placed(VIEW, ROUTE)
   task.quarantineChanged()
   expect(task.final).toBeUndefined()
   held.forMs = HELD_MS
   task.quarantineChanged()
   expect(stopped).toEqual([E1])
-  expect(task.final).toMatchObject({ outcome: 'unknown', reason: QUARANTINED })
+  expect(task.final).toMatchObject({ outcome: 'unknown', reason: QUARANTINED_REASON })
 })
 
-test('a request whose endpoint answers it is let finish, whatever else is quarantined', () => {
-  const { task, placements, sinks, held } = letter()
+test('a request that its endpoint has begun to answer finishes despite a quarantine', () => {
+  const { task, placements, sinks, held } = createRequest()
   placements[0]!.placed(VIEW, ROUTE)
   sinks[0]!.onChunk(0, ['piece'])
   held.forMs = HELD_MS
--- a/daemon/request/stall_watch.ts
+++ b/daemon/request/stall_watch.ts
@@ -1,78 +1,79 @@
-/** Notices attempts and endpoints that went silent, and carries on elsewhere what may be. */
+/** Detects attempts and endpoints that have gone silent. */
 import type { EndpointId } from '../../core/ids/index.ts'
 import { overdueAtMs, type AttemptPulse } from '../../core/request/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 
-/** A request whose attempt may have gone silent. */
-export interface Watched {
-  /** The endpoint that runs it now. */
+/** A request whose current attempt is checked for silence. */
+export interface WatchedRequest {
+  /** The endpoint that runs the current attempt. */
   readonly runningAt: EndpointId | undefined
-  /** Undefined while no attempt runs. */
-  readonly pulse: AttemptPulse | undefined
-  /** Gives the attempt up and repeats it elsewhere, where that is allowed. */
-  stalled (): void
+  /** Progress of the current attempt; undefined while none runs. */
+  readonly progress: AttemptPulse | undefined
+  /** Abandons the attempt and retries it at another endpoint, if that is allowed. */
+  handleStall (): void
 }
 
 /** Options of {@linkcode StallWatch}. */
 export interface StallWatchOptions {
   table: EndpointTable
-  /** Requests that are open on this daemon. */
-  open (): Iterable<Watched>
+  /** Returns the open requests of this daemon. */
+  open (): Iterable<WatchedRequest>
 }
 
-/** Between two looks, in milliseconds: a fraction of the shortest silence that counts. */
-const LOOK_MS = 100
+/** Interval between checks, in milliseconds: a fraction of the shortest silence that is detected. */
+const CHECK_INTERVAL_MS = 100
 /**
- * A gap between two looks that tells that this process stood still, in milliseconds.
+ * A gap between two checks that shows that this process was paused, in milliseconds.
  *
- * What endpoints said meanwhile was not read: by its own clock all of them would be silent at once, and its callers be turned away.
+ * Data that arrived during the pause has not been read yet. Without an allowance for the pause all endpoints would appear silent at once, and the daemon
+ * would refuse requests.
  */
-const STOOD_STILL_MS = 4 * LOOK_MS
-/** Times longer that one attempt must be silent where its endpoint still answers others: a lost answer, or one that was put behind others. */
-const ALONE = 2
+const PROCESS_PAUSE_MS = 4 * CHECK_INTERVAL_MS
+/** Factor on the silence allowed for an attempt whose endpoint still answers other requests. Its answer may be lost, or be delayed behind those of others. */
+const SINGLE_ATTEMPT_FACTOR = 2
 
-/** Looks at all open attempts now and then: callers of an endpoint that went dark or slow would wait until they leave. */
+/** Checks all open attempts periodically. Without it, callers of an endpoint that became unresponsive or slow would wait until they give up. */
 export class StallWatch {
   readonly #options: StallWatchOptions
   #timer: NodeJS.Timeout | undefined
-  #lookedAtMs = steadyNow()
-  /** When this process went on after it had stood still. */
+  #checkedAtMs = steadyNow()
+  /** When this process last continued after a pause. */
   #resumedAtMs = -Infinity
 
   constructor (options: StallWatchOptions) {
     this.#options = options
   }
 
-  /** Begins to look. */
+  /** Starts the periodic checks. */
   start (): void {
-    this.#timer = setInterval(() => this.look(), LOOK_MS)
+    this.#timer = setInterval(() => this.check(), CHECK_INTERVAL_MS)
   }
 
-  /** Stops. */
+  /** Stops the periodic checks. */
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  /** Looks once. */
-  look (): void {
+  /** Checks all open attempts once. */
+  check (): void {
     const now = steadyNow()
-    if (now - this.#lookedAtMs > STOOD_STILL_MS) this.#resumedAtMs = now
-    this.#lookedAtMs = now
-    for (const watched of [...this.#options.open()]) this.#lookAt(watched, now)
+    if (now - this.#checkedAtMs > PROCESS_PAUSE_MS) this.#resumedAtMs = now
+    this.#checkedAtMs = now
+    for (const request of [...this.#options.open()]) this.#checkRequest(request, now)
   }
 
-  #lookAt (watched: Watched, now: number): void {
+  #checkRequest (request: WatchedRequest, now: number): void {
     const { table } = this.#options
-    const { runningAt: endpoint, pulse } = watched
-    if (endpoint === undefined || !pulse) return
-    const lastMs = pulse.pieceAtMs ?? pulse.sentAtMs
-    const patienceMs = overdueAtMs(pulse, { usualPauseMs: table.usualPauseMs(endpoint) }) - lastMs
-    const since = Math.max(lastMs, this.#resumedAtMs)
-    if (now < since + patienceMs) return
-    if (now - Math.max(table.lastWordAtMs(endpoint), this.#resumedAtMs) >= patienceMs) {
+    const { runningAt: endpoint, progress } = request
+    if (endpoint === undefined || !progress) return
+    const lastActiveMs = progress.pieceAtMs ?? progress.sentAtMs
+    const maxSilenceMs = overdueAtMs(progress, { usualPauseMs: table.usualPauseMs(endpoint) }) - lastActiveMs
+    const silentSinceMs = Math.max(lastActiveMs, this.#resumedAtMs)
+    if (now < silentSinceMs + maxSilenceMs) return
+    if (now - Math.max(table.lastWordAtMs(endpoint), this.#resumedAtMs) >= maxSilenceMs) {
       table.silent(endpoint)
-      watched.stalled()
-    } else if (now >= since + patienceMs * ALONE) watched.stalled()
+      request.handleStall()
+    } else if (now >= silentSinceMs + maxSilenceMs * SINGLE_ATTEMPT_FACTOR) request.handleStall()
   }
 }
--- a/daemon/request/stall_watch_test.ts
+++ b/daemon/request/stall_watch_test.ts
@@ -3,7 +3,7 @@
 import type { AttemptPulse } from '../../core/request/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
-import { StallWatch, type Watched } from './stall_watch.ts'
+import { StallWatch, type WatchedRequest } from './stall_watch.ts'
 
 const POOL = as<PoolName>('llm')
 const [DARK, OTHER] = ['dark', 'other'].map((name) => as<EndpointId>(name)) as [EndpointId, EndpointId]
@@ -11,14 +11,14 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-class Stream implements Watched {
+class Stream implements WatchedRequest {
   runningAt: EndpointId | undefined
-  readonly pulse: AttemptPulse = { sentAtMs: steadyNow(), predictedMs: 100, pieceAtMs: undefined, longestPauseMs: undefined }
+  readonly progress: AttemptPulse = { sentAtMs: steadyNow(), predictedMs: 100, pieceAtMs: undefined, longestPauseMs: undefined }
   moves = 0
 
   constructor (at: EndpointId) { this.runningAt = at }
 
-  stalled (): void { this.moves++ }
+  handleStall (): void { this.moves++ }
 }
 
 function start (...streams: Stream[]) {
@@ -29,20 +29,20 @@
   watch.start()
   const piece = (stream: Stream) => {
     const now = steadyNow()
-    if (stream.pulse.pieceAtMs !== undefined) {
-      table.paused(stream.runningAt!, now - stream.pulse.pieceAtMs)
-      stream.pulse.longestPauseMs = now - stream.pulse.pieceAtMs
+    if (stream.progress.pieceAtMs !== undefined) {
+      table.paused(stream.runningAt!, now - stream.progress.pieceAtMs)
+      stream.progress.longestPauseMs = now - stream.progress.pieceAtMs
     }
-    stream.pulse.pieceAtMs = now
+    stream.progress.pieceAtMs = now
     table.heard(stream.runningAt!)
   }
   const usable = () => table.candidates(POOL).filter((view) => view.ejectedUntilMs <= steadyNow()).map(({ id }) => id)
   return { table, watch, piece, usable }
 }
 
-test('an endpoint that goes dark gets no new work, and its streams go on elsewhere, within a second', () => {
-  // Callers wait until they give up: an endpoint went dark with open connections, its streams stand still, and new work goes there since nobody waits
-  // for it.
+test('an endpoint that stops responding gets no new work, and its streams move to other endpoints, within a second', () => {
+  // Guards against callers waiting until they give up. An endpoint stops responding with its connections open, so its streams stall and new requests
+  // are still sent to it.
   const [stuck, fine] = [new Stream(DARK), new Stream(OTHER)]
   const { watch, piece, usable } = start(stuck, fine)
   for (let i = 0; i < 10; i++) {
@@ -59,7 +59,7 @@
   watch.stop()
 })
 
-test('a silent endpoint is tried again later, and one word makes it heard', () => {
+test('a silent endpoint is tried again later, and any message from it ends the silence', () => {
   const stuck = new Stream(DARK)
   const { table, watch, usable } = start(stuck)
   vi.advanceTimersByTime(1000)
@@ -72,7 +72,7 @@
   watch.stop()
 })
 
-test('one attempt that is put behind others at a busy endpoint is given more time, and the endpoint is not blamed', () => {
+test('an attempt that is delayed behind others at a busy endpoint gets more time, and the endpoint stays usable', () => {
   const [behind, fine] = [new Stream(DARK), new Stream(DARK)]
   const { watch, piece, usable } = start(behind, fine)
   for (let i = 0; i < 12; i++) {
@@ -88,8 +88,8 @@
   watch.stop()
 })
 
-test('a process that stood still blames nobody for what it did not read', () => {
-  // Callers of one daemon are turned away for a second: its host froze, and when it went on, every endpoint seemed to have been silent for as long.
+test('a process that was paused does not treat endpoints as silent for the time of the pause', () => {
+  // Guards against a daemon refusing requests for a second. After its host froze, every endpoint seemed to have been silent for the whole pause.
   const [one, two] = [new Stream(DARK), new Stream(OTHER)]
   const { watch, piece, usable } = start(one, two)
   for (let i = 0; i < 5; i++) {
--- a/daemon/request/standby.ts
+++ b/daemon/request/standby.ts
@@ -1,4 +1,4 @@
-/** Keeps a record of each running stream at another daemon, which carries it on if this daemon is gone. */
+/** Replicates the state of running streams to another daemon, which takes them over if this daemon fails. */
 import type { DaemonId, EndpointId, RequestId } from '../../core/ids/index.ts'
 import { GONE_AFTER_MS, type Member } from '../../core/membership/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
@@ -11,57 +11,58 @@
   self: DaemonId
   hash: Hash32
   membership: MembershipTask
-  /** Every running stream of this daemon, for an heir that has none of the records yet. */
+  /** Returns all running streams of this daemon, for an heir that has none of their records yet. */
   running (): HandOver[]
-  /** Carries on a stream of a daemon that is gone. */
-  adopt (handed: HandOver): void
-  /** When a leaving endpoint is gone, in milliseconds since the epoch. */
+  /** Takes over a stream of a failed daemon. */
+  takeOver (handOver: HandOver): void
+  /** Returns when a leaving endpoint will be gone, in milliseconds on the steady clock; undefined if it is not leaving. */
   goneAtMs (endpoint: EndpointId): number | undefined
 }
 
-/** What a daemon tells its heir. */
-interface StandbyNews { up: HandOver[], down: RequestId[], whole: boolean }
+/** Changes to the records that a daemon's heir keeps. `whole` replaces all of them. */
+interface StandbyUpdate { up: HandOver[], down: RequestId[], whole: boolean }
 
-const FLUSH_MS = 50
-/** Records kept for one other daemon: more than it may have open. */
-const MOST_RECORDS = 4000
+/** Time for which changes are collected before they are sent together, in milliseconds. */
+const FLUSH_DELAY_MS = 50
+/** Most records kept for one other daemon: as many as its default limit of open requests. */
+const MAX_RECORDS_PER_DAEMON = 4000
 
 /**
- * Sends this daemon's running streams to its heir and keeps those of others.
+ * Sends records of this daemon's running streams to its heir, the daemon that takes over from it, and keeps the records of other daemons.
  *
- * The records are a cache in memory and no promise: with both daemons gone the callers are told `unknown`. The heir is in another failure
- * domain, since the loss of a domain takes all daemons in it.
+ * The records are held in memory only: if both daemons fail, callers get the outcome `unknown`. The heir is in another failure domain if
+ * possible, since the loss of a domain takes down all daemons in it.
  */
 export class Standby {
   readonly #options: StandbyOptions
   readonly #records = new Map<DaemonId, Map<RequestId, HandOver>>()
   #heir: DaemonId | undefined
-  #up = new Map<RequestId, HandOver>()
-  #down: RequestId[] = []
+  #changed = new Map<RequestId, HandOver>()
+  #endedIds: RequestId[] = []
   #flushTimer: NodeJS.Timeout | undefined
 
   constructor (options: StandbyOptions) {
     this.#options = options
-    options.membership.links.handle('stand-by', async (news: StandbyNews, { from }) => this.#take(from, news))
+    options.membership.links.handle('stand-by', async (update: StandbyUpdate, { from }) => this.#applyUpdate(from, update))
     options.membership.onMember((member) => this.#memberChanged(member))
   }
 
-  /** Records kept for other daemons. */
-  get kept (): number { return [...this.#records.values()].reduce((sum, records) => sum + records.size, 0) }
+  /** Number of records kept for other daemons. */
+  get recordCount (): number { return [...this.#records.values()].reduce((sum, records) => sum + records.size, 0) }
 
-  /** A stream began an attempt. */
-  started (handed: HandOver): void {
-    this.#up.set(handed.id, handed)
-    this.#flushLater()
+  /** Records that a stream started an attempt. */
+  started (handOver: HandOver): void {
+    this.#changed.set(handOver.id, handOver)
+    this.#scheduleFlush()
   }
 
-  /** A stream ended. */
+  /** Records that a stream ended. */
   ended (id: RequestId): void {
-    if (!this.#up.delete(id)) this.#down.push(id)
-    this.#flushLater()
+    if (!this.#changed.delete(id)) this.#endedIds.push(id)
+    this.#scheduleFlush()
   }
 
-  /** The daemon that would carry on. */
+  /** Returns the daemon that takes over from this one, by rendezvous hashing over daemons in other failure domains if there are any. */
   heir (): Member | undefined {
     const { membership, self, hash } = this.#options
     const others = membership.working.filter((member) => member.id !== self)
@@ -71,63 +72,63 @@
   }
 
   #memberChanged (member: Member): void {
-    // Only the last heir named: an earlier one would find the stream ended, and tell its callers so in place of the answer.
-    if (member.heir === this.#options.self) this.#perhapsCarryOn(member)
+    // Only the latest heir takes over. An earlier one would find the stream ended and report that to callers instead of the answer.
+    if (member.heir === this.#options.self) this.#takeOverFrom(member)
     if (member.state === 'left' || member.state === 'gone') this.#records.delete(member.id)
     if (member.id === this.#options.self) return
     const heir = this.heir()
     if (heir?.id === this.#heir) return
-    this.#send(this.#memberOf(this.#heir), { up: [], down: [], whole: true })
+    this.#sendUpdate(this.#memberById(this.#heir), { up: [], down: [], whole: true })
     this.#heir = heir?.id
     this.#options.membership.setSelf({ heir: heir?.id })
-    this.#send(heir, { up: this.#options.running(), down: [], whole: true })
+    this.#sendUpdate(heir, { up: this.#options.running(), down: [], whole: true })
   }
 
   /**
-   * A daemon that is gone is stood in for; one that is only suspected, for the streams whose endpoints leave before it could be known.
+   * Takes over all streams of a daemon that is gone. From a suspected daemon, takes over only streams whose endpoints leave before it could be confirmed gone.
    *
-   * Waiting would lose those for certain. If the daemon was merely paused, it finds its reading of them taken over, which for a letter
-   * means `unknown`: the price of acting on a suspicion, paid only where waiting costs as much.
+   * Those streams would certainly be lost by waiting. If the daemon was only paused, it finds its streams taken over, which for a
+   * non-idempotent request results in `unknown`. This is accepted only where waiting costs as much.
    */
-  #perhapsCarryOn ({ id, state }: Member): void {
+  #takeOverFrom ({ id, state }: Member): void {
     if (state !== 'gone' && state !== 'suspect') return
     const knownAtMs = steadyNow() + GONE_AFTER_MS
-    for (const handed of [...this.#records.get(id)?.values() ?? []]) {
-      const urgent = handed.endpoint !== undefined && (this.#options.goneAtMs(handed.endpoint) ?? Infinity) < knownAtMs
+    for (const handOver of [...this.#records.get(id)?.values() ?? []]) {
+      const urgent = handOver.endpoint !== undefined && (this.#options.goneAtMs(handOver.endpoint) ?? Infinity) < knownAtMs
       if (state !== 'gone' && !urgent) continue
-      this.#records.get(id)!.delete(handed.id)
-      this.#options.adopt(handed)
+      this.#records.get(id)!.delete(handOver.id)
+      this.#options.takeOver(handOver)
     }
   }
 
-  #take (from: DaemonId, news: StandbyNews): void {
+  #applyUpdate (from: DaemonId, update: StandbyUpdate): void {
     let records = this.#records.get(from)
-    if (!records || news.whole) {
+    if (!records || update.whole) {
       records = new Map()
       this.#records.set(from, records)
     }
-    for (const handed of news.up) if (records.size < MOST_RECORDS) records.set(handed.id, handed)
-    for (const id of news.down) records.delete(id)
+    for (const handOver of update.up) if (records.size < MAX_RECORDS_PER_DAEMON) records.set(handOver.id, handOver)
+    for (const id of update.down) records.delete(id)
   }
 
-  /** What arrives together is sent together. */
-  #flushLater (): void {
+  /** Batches changes that occur close together into one update. */
+  #scheduleFlush (): void {
     this.#flushTimer ??= setTimeout(() => {
       this.#flushTimer = undefined
-      const news: StandbyNews = { up: [...this.#up.values()], down: this.#down, whole: false }
-      this.#up = new Map()
-      this.#down = []
-      this.#send(this.#memberOf(this.#heir), news)
-    }, FLUSH_MS)
+      const update: StandbyUpdate = { up: [...this.#changed.values()], down: this.#endedIds, whole: false }
+      this.#changed = new Map()
+      this.#endedIds = []
+      this.#sendUpdate(this.#memberById(this.#heir), update)
+    }, FLUSH_DELAY_MS)
   }
 
-  #memberOf (id: DaemonId | undefined): Member | undefined {
+  #memberById (id: DaemonId | undefined): Member | undefined {
     return id === undefined ? undefined : this.#options.membership.core.member(id)
   }
 
-  /** News that is lost costs a stream its second chance, and nothing else. */
-  #send (heir: Member | undefined, news: StandbyNews): void {
-    if (!heir || (news.up.length === 0 && news.down.length === 0 && !news.whole)) return
-    this.#options.membership.links.call(heir, 'stand-by', news).catch(() => {})
+  /** Sends an update. Errors are ignored: a lost update only means that the heir cannot take over the streams it names. */
+  #sendUpdate (heir: Member | undefined, update: StandbyUpdate): void {
+    if (!heir || (update.up.length === 0 && update.down.length === 0 && !update.whole)) return
+    this.#options.membership.links.call(heir, 'stand-by', update).catch(() => {})
   }
 }
--- a/daemon/request/token_runner.ts
+++ b/daemon/request/token_runner.ts
@@ -1,18 +1,18 @@
-/** Runs the attempts of requests that produce tokens: streams of model engines, calls of plain services. */
+/** Runs attempts of requests at model engines, which stream tokens, and at plain services, which return one text. */
 import type { RequestId } from '../../core/ids/index.ts'
 import type { AttemptError } from '../../core/outcome/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
 import type { Attachment, AttemptRunner, AttemptSink, AttemptSpec, ModelEngine, PlainService, StopReport } from '../../endpoints/index.ts'
 
-/** Runs attempts whose reading another daemon, or this one again, can take up. */
+/** Runs attempts that this or another daemon can resume. */
 export interface TokenRunner extends AttemptRunner<string> {
-  /** What the caller sent. */
+  /** The caller's input. */
   readonly input: string
-  /** Receives a running attempt again, from a place in the answer. */
+  /** Resumes receiving a running attempt from an offset in the answer. */
   resume (view: EndpointView, at: { attempt: number, from: number }, sink: AttemptSink<string>): Attachment
 }
 
-/** What a runner needs to know of its request. */
+/** Options of {@linkcode EngineRunner} and {@linkcode ServiceRunner}. */
 export interface TokenRunnerOptions {
   id: RequestId
   input: string
@@ -20,15 +20,15 @@
   urgent: boolean
 }
 
-/** Longer than it takes to be sure that a daemon is gone, in milliseconds. */
+/** How long an engine keeps a stream that nobody reads, in milliseconds: longer than it takes to confirm that a daemon is gone. */
 const STREAM_KEPT_MS = 30_000
 const PRIORITY_URGENT = 10
-const PRIORITY_OTHER = 1
-/** Least time that a plain call is given, in milliseconds: a shorter one fails before its connection is there. */
-const SHORTEST_CALL_MS = 250
+const PRIORITY_NORMAL = 1
+/** Shortest timeout of a plain call, in milliseconds. With a shorter one, calls fail before the connection is established. */
+const MIN_CALL_MS = 250
 const NO_ATTACHMENT: Attachment = { detach: () => {} }
 
-/** Streams of one request at model engines. */
+/** Runs the attempts of one request at model engines. */
 export class EngineRunner implements TokenRunner {
   readonly #options: TokenRunnerOptions
   readonly #engine: (view: EndpointView) => ModelEngine
@@ -48,7 +48,7 @@
       done: [...spec.done],
       maxTokens,
       keepMs: STREAM_KEPT_MS,
-      priority: urgent ? PRIORITY_URGENT : PRIORITY_OTHER,
+      priority: urgent ? PRIORITY_URGENT : PRIORITY_NORMAL,
       ...(spec.kvHandle !== undefined && { kvHandle: spec.kvHandle })
     }, sink)
   }
@@ -66,7 +66,7 @@
   }
 }
 
-/** Calls of one request at plain services. */
+/** Runs the attempts of one request at plain services. */
 export class ServiceRunner implements TokenRunner {
   readonly #options: TokenRunnerOptions
   readonly #service: (view: EndpointView) => PlainService
@@ -79,7 +79,7 @@
   get input (): string { return this.#options.input }
 
   start (view: EndpointView, spec: AttemptSpec<string>, sink: AttemptSink<string>): Attachment {
-    const timeoutMs = Math.max(SHORTEST_CALL_MS, spec.deadlineInMs)
+    const timeoutMs = Math.max(MIN_CALL_MS, spec.deadlineInMs)
     this.#service(view).call({ requestId: this.#options.id, input: this.input, timeoutMs }).then((text) => {
       sink.onChunk(0, [text])
       sink.onEnd(1)
--- a/daemon/request/token_task.ts
+++ b/daemon/request/token_task.ts
@@ -1,4 +1,4 @@
-/** A request whose answer is a stream of tokens or one text, kept here for callers to resume and handed over when this daemon leaves. */
+/** A request whose answer is a token stream or a single text. Callers can resume the answer, and a draining daemon hands it over. */
 import type { EndpointId, RequestId, AccountId } from '../../core/ids/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
@@ -7,7 +7,7 @@
 import { RequestTask, type RequestTaskOptions } from './request_task.ts'
 import type { TokenRunner } from './token_runner.ts'
 
-/** A request on its way to another daemon. */
+/** State of a request, as sent to the daemon that takes it over. */
 export interface HandOver {
   id: RequestId
   account: AccountId
@@ -16,7 +16,7 @@
   maxTokens: number
   tokens: readonly string[]
   attempt: number
-  /** Undefined while it waits for room. */
+  /** Undefined while the request is queued. */
   endpoint: EndpointId | undefined
   /** Milliseconds until the deadline. */
   deadlineInMs: number
@@ -27,10 +27,10 @@
   runner: TokenRunner
 }
 
-/** One request that produces tokens. */
+/** A request that produces tokens. */
 export class TokenTask extends RequestTask<string> implements LiveAnswer {
   readonly #runner: TokenRunner
-  /** True until the engine gave a word of a stream whose daemon is gone: then it may not be computed again. */
+  /** True after a takeover from a failed daemon, until the engine sends a piece. Meanwhile the answer must not be computed again. */
   #onlyResume = false
 
   constructor (options: TokenTaskOptions) {
@@ -39,10 +39,10 @@
   }
 
   get tokens (): readonly string[] { return this.answer.pieces }
-  /** What the caller sent. */
+  /** The caller's input. */
   get prompt (): string { return this.#runner.input }
 
-  /** Describes the running stream for another daemon; undefined when there is none that could be carried on. */
+  /** Returns the state that another daemon needs to take over the stream; undefined if it cannot be taken over. */
   describe (): HandOver | undefined {
     const { work } = this
     const { phase, endpoint, attempt, traits } = this.lifecycle
@@ -63,18 +63,18 @@
   }
 
   /**
-   * Stops reading the stream and describes it, for another daemon to carry on.
+   * Stops reading the stream and returns its state for a hand-over.
    *
-   * Nothing more may reach the callers from here: if the other daemon had to compute the answer again from a point that callers are
-   * already past, they would be given a torn one.
+   * No more pieces may reach callers from here. If the other daemon had to recompute the answer from a point that callers have already
+   * passed, they would receive an inconsistent answer.
    */
-  offer (): HandOver | undefined {
-    const handed = this.describe()
-    if (handed) this.attachment?.detach()
-    return handed
+  prepareHandOver (): HandOver | undefined {
+    const handOver = this.describe()
+    if (handOver) this.attachment?.detach()
+    return handOver
   }
 
-  /** The other daemon did not take the stream: reads it again here. */
+  /** Resumes reading the stream after the other daemon declined the hand-over. */
   keep (): void {
     const { endpoint, attempt } = this.lifecycle
     const view = endpoint === undefined ? undefined : this.ports.table.get(endpoint)
@@ -82,32 +82,33 @@
     this.#resume(view, attempt, this.answer.length)
   }
 
-  /** Another daemon took the stream over: let go of it here, without stopping it. */
-  letGo (): void {
+  /** Releases the stream without stopping it, after another daemon has taken it over. */
+  markMovedAway (): void {
     this.movedAway = true
-    this.retire()
+    this.deactivate()
     this.listeners.notify()
   }
 
   /**
-   * Carries on another daemon's stream. `sure` when it handed the stream over and let go; false when it is gone, and its callers may have
-   * read further than its last word here.
+   * Takes over another daemon's stream.
+   * @param ownerReleased True if the other daemon handed the stream over and released it. False if it failed; its callers may then have read
+   * further than the record of the stream shows.
    */
-  takeOver (handed: HandOver, view: EndpointView | undefined, sure: boolean): void {
-    this.#onlyResume = !sure
-    this.lifecycle = { ...this.lifecycle, phase: view ? 'running' : 'placing', attempt: handed.attempt, endpoint: handed.endpoint, mayHaveRun: true }
-    this.answer.replaceAttempt(handed.attempt)
-    this.answer.add({ attempt: handed.attempt, offset: 0, pieces: handed.tokens })
+  takeOver (handOver: HandOver, view: EndpointView | undefined, ownerReleased: boolean): void {
+    this.#onlyResume = !ownerReleased
+    this.lifecycle = { ...this.lifecycle, phase: view ? 'running' : 'placing', attempt: handOver.attempt, endpoint: handOver.endpoint, mayHaveRun: true }
+    this.answer.replaceAttempt(handOver.attempt)
+    this.answer.add({ attempt: handOver.attempt, offset: 0, pieces: handOver.tokens })
     if (!view) {
-      this.decide('stream-taken-over', { endpoint: undefined, fromPiece: handed.tokens.length })
+      this.decide('stream-taken-over', { endpoint: undefined, fromPiece: handOver.tokens.length })
       return this.place([])
     }
-    this.adopt(view)
-    this.decide('stream-taken-over', { endpoint: view.id, fromPiece: handed.tokens.length })
-    this.#resume(view, handed.attempt, handed.tokens.length)
+    this.trackTakenOver(view)
+    this.decide('stream-taken-over', { endpoint: view.id, fromPiece: handOver.tokens.length })
+    this.#resume(view, handOver.attempt, handOver.tokens.length)
   }
 
-  protected override get mayMoveOn (): boolean { return !this.#onlyResume }
+  protected override get mayRetryElsewhere (): boolean { return !this.#onlyResume }
 
   protected override onPiece (): void {
     this.#onlyResume = false
--- a/daemon/request/work.ts
+++ b/daemon/request/work.ts
@@ -1,4 +1,4 @@
-/** What a request is and what it needs of its daemon. */
+/** Describes a request and the parts of the daemon that it uses. */
 import type { AccountId, ClassName, Fingerprint, PoolName, RequestId } from '../../core/ids/index.ts'
 import type { ClaimResult } from '../../core/once/index.ts'
 import type { RepeatBudget } from '../../core/retry/index.ts'
@@ -9,30 +9,30 @@
 import type { CrashWatch, QuarantineTask } from '../quarantine/index.ts'
 import type { Dispatcher } from './dispatcher.ts'
 
-/** What a caller asked for. */
+/** The work that a caller requested. */
 export interface Work {
   id: RequestId
   account: AccountId
   cls: WorkClass
   pool: PoolName
   demand: Demand
-  /** Present when the request carries an idempotency key that must be claimed. */
+  /** Claims the idempotency key; undefined if the request has none that must be claimed. */
   claim: (() => Promise<ClaimResult>) | undefined
-  /** Tells it from requests with other content; worked out when it is first asked for. */
+  /** Returns a hash of the request's content. A function, so that it is computed only when needed. */
   fingerprint (): Fingerprint
 }
 
-/** Hears how endpoints answer, where a version is being rolled out. */
+/** Observes how endpoints answer while a version is being rolled out. */
 export interface AnswerWatch {
-  /** A request came. */
+  /** Called when a request arrives. */
   asked (work: Pick<Work, 'pool' | 'cls'>): void
-  /** An endpoint gave the first word of its answer. */
+  /** Called when an endpoint sends the first response to an attempt. */
   answered (view: EndpointView, cls: ClassName, times: { tookMs: number, predictedMs: number }): void
-  /** An endpoint said itself that it failed. */
+  /** Called when an endpoint reports that it failed. */
   failed (view: EndpointView, cls: ClassName): void
 }
 
-/** What a request needs of the daemon. */
+/** The parts of the daemon that a request uses. */
 export interface RequestPorts {
   table: EndpointTable
   dispatcher: Dispatcher
@@ -40,12 +40,12 @@
   metrics: Metrics
   crashes: CrashWatch
   quarantine: QuarantineTask
-  /** Default: nobody. */
+  /** Default: no observer. */
   answers?: AnswerWatch | undefined
 }
 
-/** Why a request is refused that crashes what runs it. */
-export const QUARANTINED = 'quarantined: endpoints that ran requests like it crashed'
+/** Reason given for refusing a request whose fingerprint is quarantined. */
+export const QUARANTINED_REASON = 'quarantined: endpoints that ran requests like it crashed'
 
-/** One decision, for `status --explain`, in words. */
+/** One decision, formatted for `status --explain`. */
 export interface Decision { atMs: number, text: string }
