--- a/daemon/once/claims.ts
+++ b/daemon/once/claims.ts
@@ -1,4 +1,4 @@
-/** Claims idempotency keys through the daemon that writes the key's shard at the moment. */
+/** Claims idempotency keys through the daemon that currently owns the key's shard. */
 import { createHash } from 'node:crypto'
 import { as, type AccountId, type DaemonId, type RequestId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
@@ -17,47 +17,49 @@
   membership: MembershipTask
 }
 
-/** Shards of the claim log. Writes a second depend on this and the commit interval, not on the number of requests. */
-export const SHARDS = 8
+/** Number of shards of the claim log. The store's write rate depends on this and the commit interval, not on the request rate. */
+export const SHARD_COUNT = 8
 const HASH_LENGTH = 22
 
 interface ClaimArgs { claim: Claim, inMs: number }
 
-/** Claims keys. */
+/** Claims idempotency keys for this daemon, and for others that consider it the owner of a shard. */
 export class Claims {
   readonly #options: ClaimsOptions
   readonly #shards = new Map<number, ShardLog>()
 
   constructor (options: ClaimsOptions) {
     this.#options = options
-    options.membership.links.handle('claim', ({ claim, inMs }: ClaimArgs) => this.#claimHere(claim, inMs))
+    options.membership.links.handle('claim', ({ claim, inMs }: ClaimArgs) => this.#claimLocal(claim, inMs))
   }
 
   /**
    * Claims a key for a request.
-   * @param inMs Milliseconds that the claim may take.
-   * @throws {ClaimError} When it could not be written in time. Nothing ran.
+   * @param inMs Time that the claim may take, in milliseconds.
+   * @throws {ClaimError} If the claim could not be written in time. The request has not been run in that case.
    */
   async claim (claim: Claim, inMs: number): Promise<ClaimResult> {
     const expiresAtMs = steadyNow() + inMs
     const owner = this.#ownerOf(shardOf(claim.key, this.#options.hash))
     if (owner && owner.id !== this.#options.self) {
-      const result = await this.#ask(owner, { claim, inMs })
+      const result = await this.#claimAtOwner(owner, { claim, inMs })
       if (result) return result
     }
-    return await this.#claimHere(claim, expiresAtMs - steadyNow())
+    return await this.#claimLocal(claim, expiresAtMs - steadyNow())
   }
 
   /**
-   * A lost or failed call may have claimed the key all the same. Claiming again here is safe: the log then shows the same request id,
-   * and whoever writes a shard is fenced by the head's version, not by being its owner.
+   * Asks the owner of a shard to claim a key; resolves to undefined if the call fails.
+   *
+   * A failed call may still have claimed the key. Claiming it again locally is safe: the log then contains the same request id, and writers
+   * are fenced by the version of the head, not by ownership of the shard.
    */
-  async #ask (owner: Member, args: ClaimArgs): Promise<ClaimResult | undefined> {
+  async #claimAtOwner (owner: Member, args: ClaimArgs): Promise<ClaimResult | undefined> {
     const { links } = this.#options.membership
     return await links.call(owner, 'claim', args, { timeoutMs: args.inMs / 2 }).catch(() => undefined) as ClaimResult | undefined
   }
 
-  async #claimHere (claim: Claim, inMs: number): Promise<ClaimResult> {
+  async #claimLocal (claim: Claim, inMs: number): Promise<ClaimResult> {
     if (inMs <= 0) throw new ClaimError('Cannot claim key: no time left')
     const number = shardOf(claim.key, this.#options.hash)
     let shard = this.#shards.get(number)
@@ -68,7 +70,7 @@
     return await shard.claim(claim, steadyNow() + inMs)
   }
 
-  /** Highest rank by rendezvous hashing: most keys keep their owner when a daemon comes or goes. */
+  /** Returns the owner of a shard by rendezvous hashing, so that most shards keep their owner when a daemon joins or leaves. */
   #ownerOf (shard: number): Member | undefined {
     let owner: Member | undefined
     let highest = -1
@@ -82,13 +84,13 @@
   }
 }
 
-/** Builds the claim of a request. */
+/** Creates the claim of a request. */
 export function claimOf (request: RequestId, options: { account: AccountId, key: string, body: string }): Claim {
   return { key: as<KeyHash>(sha256(`${options.account}/${options.key}`)), body: sha256(options.body), request, atMs: Date.now() }
 }
 
 function shardOf (key: KeyHash, hash: Hash32): number {
-  return hash(key) % SHARDS
+  return hash(key) % SHARD_COUNT
 }
 
 function sha256 (text: string): string {
--- a/daemon/once/shard_log.ts
+++ b/daemon/once/shard_log.ts
@@ -1,4 +1,4 @@
-/** Writes one shard of the claim log: collects claims for a moment, then makes one conditional update for all of them. */
+/** Writes one shard of the claim log. Claims are collected briefly and written in one conditional update. */
 import { randomUUID } from 'node:crypto'
 import {
   EMPTY_HEAD, MERGE_AT, SEAL_AT, append, dropOld, judge, merge, mergeable, newestMs, seal,
@@ -11,23 +11,23 @@
 export interface ShardLogOptions {
   store: ObjectStore
   shard: number
-  /** Shortest time between two writes in milliseconds. Default 85. */
+  /** Shortest time between two writes, in milliseconds. Default: {@linkcode COMMIT_INTERVAL_MS}. */
   intervalMs?: number
-  /** How long a claim is kept, in milliseconds. Default one hour. */
+  /** How long a claim is kept, in milliseconds. Default: {@linkcode CLAIM_KEPT_MS}. */
   keptMs?: number
-  /** Called after each attempt to write, for counters. */
+  /** Called after each successful write with the number of claims written, for metrics. */
   onWrite?: (claims: number) => void
 }
 
 interface Pending { claim: Claim, expiresAtMs: number, resolve (result: ClaimResult): void, reject (err: Error): void }
 
-/** Default shortest time between two writes of one shard: 8 shards then write at most 100 times a second. */
+/** Default shortest time between two writes of a shard, in milliseconds: keeps 8 shards together under 100 writes per second. */
 export const COMMIT_INTERVAL_MS = 85
-/** How long a claim holds its key. */
+/** Default time that a claim holds its key, in milliseconds: one hour. */
 export const CLAIM_KEPT_MS = 3_600_000
-const RETRY_MS = 100
+const RETRY_DELAY_MS = 100
 
-/** A claim could not be written before its request's deadline. Nothing ran. */
+/** Thrown when a claim could not be written before its request's deadline. The request has not been run in that case. */
 export class ClaimError extends Error {
   override name = 'ClaimError'
 }
@@ -35,21 +35,21 @@
 /**
  * Claims keys in one shard.
  *
- * The head's version is the fence: a daemon that was paused and still believes itself the shard's owner updates a version that is
- * gone, gets a conflict, reads the head again and sees every claim made meanwhile. No clock and no lease protects a claim.
+ * Writers are fenced by the version of the head. A daemon that was paused and still considers itself the shard's owner gets a conflict
+ * when it updates an outdated version. It then reads the head again and sees every claim made meanwhile. Claims do not depend on clocks or leases.
  */
 export class ShardLog {
   readonly #store: ObjectStore
   readonly #key: string
   readonly #options: ShardLogOptions
-  readonly #table = new Map<KeyHash, Claim>()
-  readonly #loaded = new Set<string>()
+  readonly #claims = new Map<KeyHash, Claim>()
+  readonly #loadedSegments = new Set<string>()
   #garbage: string[] = []
   #head: ShardHead = EMPTY_HEAD
   #version: number | undefined
   #pending: Pending[] = []
   #writing = false
-  #notBeforeMs = 0
+  #nextCallAtMs = 0
 
   constructor (options: ShardLogOptions) {
     this.#store = options.store
@@ -57,12 +57,13 @@
     this.#key = `once/${options.shard}`
   }
 
-  /** Claims held in memory. */
-  get size (): number { return this.#table.size }
+  /** Number of claims held in memory. */
+  get size (): number { return this.#claims.size }
 
   /**
    * Claims a key.
-   * @throws {ClaimError} When the store could not be written until `expiresAtMs`, on the clock of `Date.now`.
+   * @param expiresAtMs Deadline in milliseconds on the steady clock.
+   * @throws {ClaimError} If the claim could not be written by `expiresAtMs`.
    */
   claim (claim: Claim, expiresAtMs: number): Promise<ClaimResult> {
     return new Promise((resolve, reject) => {
@@ -73,22 +74,22 @@
 
   async #writeLoop (): Promise<void> {
     this.#writing = true
-    while (this.#settleKnown()) {
-      const waitMs = this.#notBeforeMs - steadyNow()
+    while (this.#resolveKnown()) {
+      const waitMs = this.#nextCallAtMs - steadyNow()
       if (waitMs > 0) {
         await delay(Math.min(waitMs, this.#firstExpiryMs()))
         continue
       }
-      await this.#attempt()
+      await this.#readOrWrite()
     }
     this.#writing = false
   }
 
-  /** Answers what the table answers and fails what is too late; true while claims remain. */
-  #settleKnown (): boolean {
+  /** Resolves claims whose key is already claimed and rejects expired ones. Returns true if any are left. */
+  #resolveKnown (): boolean {
     const now = steadyNow()
     this.#pending = this.#pending.filter((pending) => {
-      const holder = this.#version === undefined ? undefined : this.#table.get(pending.claim.key)
+      const holder = this.#version === undefined ? undefined : this.#claims.get(pending.claim.key)
       if (holder) pending.resolve(judge(pending.claim, holder))
       else if (pending.expiresAtMs <= now) pending.reject(new ClaimError('Cannot claim key: the store did not answer in time'))
       else return true
@@ -102,17 +103,17 @@
     return Math.max(1, first - steadyNow())
   }
 
-  async #attempt (): Promise<void> {
+  async #readOrWrite (): Promise<void> {
     try {
       if (this.#version === undefined) await this.#readHead()
       else await this.#writeBatch()
     } catch (err) {
-      if (!(err instanceof StoreError)) this.#fail(err as Error)
-      this.#notBeforeMs = steadyNow() + RETRY_MS
+      if (!(err instanceof StoreError)) this.#rejectPending(err as Error)
+      this.#nextCallAtMs = steadyNow() + RETRY_DELAY_MS
     }
   }
 
-  #fail (err: Error): void {
+  #rejectPending (err: Error): void {
     for (const pending of this.#pending) pending.reject(err)
     this.#pending = []
   }
@@ -120,42 +121,42 @@
   async #readHead (): Promise<void> {
     const found = await this.#store.get(this.#key)
     const marked = found && JSON.parse(found.value) as Marked<ShardHead>
-    await this.#adopt(marked?.data ?? EMPTY_HEAD, found?.version ?? 0)
+    await this.#loadHead(marked?.data ?? EMPTY_HEAD, found?.version ?? 0)
   }
 
-  async #adopt (head: ShardHead, version: number): Promise<void> {
-    for (const segment of head.segments) await this.#load(segment)
-    for (const claim of head.recent) this.#table.set(claim.key, claim)
+  async #loadHead (head: ShardHead, version: number): Promise<void> {
+    for (const segment of head.segments) await this.#loadSegment(segment)
+    for (const claim of head.recent) this.#claims.set(claim.key, claim)
     this.#head = head
     this.#version = version
   }
 
-  async #load (segment: Segment): Promise<void> {
-    if (this.#loaded.has(segment.object)) return
-    for (const claim of await this.#claimsOf(segment)) this.#table.set(claim.key, claim)
-    this.#loaded.add(segment.object)
+  async #loadSegment (segment: Segment): Promise<void> {
+    if (this.#loadedSegments.has(segment.object)) return
+    for (const claim of await this.#readSegment(segment)) this.#claims.set(claim.key, claim)
+    this.#loadedSegments.add(segment.object)
   }
 
-  async #claimsOf (segment: Segment): Promise<Claim[]> {
+  async #readSegment (segment: Segment): Promise<Claim[]> {
     const found = await this.#store.get(segment.object)
     return found ? JSON.parse(found.value) as Claim[] : []
   }
 
   async #writeBatch (): Promise<void> {
-    this.#notBeforeMs = steadyNow() + (this.#options.intervalMs ?? COMMIT_INTERVAL_MS)
-    await this.#makeRoom()
-    // Claims that came while this one waited may repeat a key of the table: writing them would claim the key a second time.
-    if (!this.#settleKnown()) return
+    this.#nextCallAtMs = steadyNow() + (this.#options.intervalMs ?? COMMIT_INTERVAL_MS)
+    await this.#compact()
+    // Claims that arrived meanwhile may repeat a key that is already claimed. Writing them would claim the key a second time.
+    if (!this.#resolveKnown()) return
     const batch = firstOfEachKey(this.#pending.map((pending) => pending.claim))
     const data = append(this.#head, batch)
     const applied = await this.#replaceHead(data)
     if (!applied) return
-    for (const claim of batch) this.#table.set(claim.key, claim)
+    for (const claim of batch) this.#claims.set(claim.key, claim)
     this.#options.onWrite?.(batch.length)
     this.#collectGarbage()
   }
 
-  /** Only after the head that no longer names them is written; one that fails here stays as an unused object. */
+  /** Deletes unreferenced segments. Must run only after the head that no longer names them is written. A segment whose deletion fails stays as an unused object. */
   async #collectGarbage (): Promise<void> {
     const objects = this.#garbage.splice(0)
     for (const object of objects) {
@@ -168,24 +169,24 @@
     }
   }
 
-  /** Replaces the head; false when somebody else did so first, and then their head is adopted. */
+  /** Replaces the head. Returns false if another writer was first, after loading the head that it wrote. */
   async #replaceHead (data: ShardHead): Promise<boolean> {
-    const result = await this.#write(data)
+    const result = await this.#writeHead(data)
     if (result.applied) {
       this.#head = data
       this.#version = result.version
       return true
     }
     this.#garbage = []
-    await this.#adopt(result.data ?? EMPTY_HEAD, result.found?.version ?? 0)
+    await this.#loadHead(result.data ?? EMPTY_HEAD, result.found?.version ?? 0)
     return false
   }
 
   /**
-   * An unsure write leaves the head unknown: it is read again before anything else is decided. Deciding on the head as it was before
-   * would miss claims that the unsure write had made.
+   * Writes the head. If the outcome of the write is unknown, the version is discarded, so that the head is read again before any further claim is
+   * decided. Deciding by the previous head would miss claims that the write may have made.
    */
-  async #write (data: ShardHead) {
+  async #writeHead (data: ShardHead) {
     const version = this.#version!
     try {
       return await writeSurely(this.#store, this.#key, { writeId: randomUUID(), data, version })
@@ -195,7 +196,7 @@
     }
   }
 
-  async #makeRoom (): Promise<void> {
+  async #compact (): Promise<void> {
     if (this.#head.recent.length >= SEAL_AT) await this.#seal()
     const small = mergeable(this.#head)
     if (small.length >= MERGE_AT) await this.#merge(small)
@@ -208,17 +209,17 @@
   }
 
   async #merge (small: Segment[]): Promise<void> {
-    const claims = (await Promise.all(small.map((segment) => this.#claimsOf(segment)))).flat()
+    const claims = (await Promise.all(small.map((segment) => this.#readSegment(segment)))).flat()
     const object = await this.#writeSegment(claims)
     this.#garbage.push(...small.map((segment) => segment.object))
     this.#head = merge(this.#head, small, { object, count: claims.length, untilMs: newestMs(claims) })
   }
 
-  /** Each attempt writes a new name, so a segment whose write was unsure is left unused and never half trusted. */
+  /** Writes a segment under a new name on each attempt, so that a segment whose write has an unknown outcome is never used. */
   async #writeSegment (claims: readonly Claim[]): Promise<string> {
     const object = `${this.#key}/${randomUUID()}`
     await this.#store.create(object, JSON.stringify(claims))
-    this.#loaded.add(object)
+    this.#loadedSegments.add(object)
     return object
   }
 
@@ -228,13 +229,13 @@
     this.#head = head
     if (dropped.length === 0) return
     this.#garbage.push(...dropped.map((segment) => segment.object))
-    for (const [key, claim] of this.#table) {
-      if (claim.atMs < keptFromMs) this.#table.delete(key)
+    for (const [key, claim] of this.#claims) {
+      if (claim.atMs < keptFromMs) this.#claims.delete(key)
     }
   }
 }
 
-/** Two requests with one key in one batch: the first claims it, the other is judged against it afterwards. */
+/** Returns the first claim of each key. Later claims of a key in the same batch are compared with the first one after it is written. */
 function firstOfEachKey (claims: readonly Claim[]): Claim[] {
   const first = new Map<KeyHash, Claim>()
   for (const claim of claims) {
--- a/daemon/once/shard_log_test.ts
+++ b/daemon/once/shard_log_test.ts
@@ -14,7 +14,7 @@
 
 const claimOf = (key: string, request: string, body = 'same'): Claim => ({ key: as<KeyHash>(key), body, request: as<RequestId>(request), atMs: Date.now() })
 
-/** Runs claims to their end under the paused clock. */
+/** Advances the fake clock until all claims have settled. */
 async function settle<T> (...claims: Array<Promise<T>>): Promise<Array<PromiseSettledResult<T>>> {
   const all = Promise.allSettled(claims)
   await vi.advanceTimersByTimeAsync(LONG_MS)
@@ -27,35 +27,35 @@
   return result!.value
 }
 
-test('the same key at two daemons at once is claimed by one; the other learns whose it is', async () => {
-  // Two portals send one letter, through two daemons that both believe they write the shard. Without the head's version both would
-  // claim the key and the household would get two letters.
+test('a key claimed through two daemons at once is claimed by one, and the other gets the id of the claiming request', async () => {
+  // Guards against two daemons that both consider themselves the owner of a shard claiming the same key, which would run the request twice.
+  // Only the version check on the head prevents it.
   const store = new StandInStore()
   const logs = [new ShardLog({ store, shard: 0 }), new ShardLog({ store, shard: 0 })]
   const results = await settle(...logs.map((log, i) => log.claim(claimOf('k', `${i}~1`), steadyNow() + LONG_MS)))
   expect(results.map((result) => result.status === 'fulfilled' && result.value)).toEqual([{ type: 'claimed' }, { type: 'repeated', request: '0~1' }])
 })
 
-test('an owner that was paused and wakes cannot claim what others claimed meanwhile', async () => {
-  // A daemon writes a shard, is paused for an hour, and wakes believing that it still knows every claim. Meanwhile another daemon
-  // claimed the key and sealed the log. The version the sleeper knew is gone, so it must read before it can claim.
+test('an owner that resumes after a pause cannot claim a key that was claimed meanwhile', async () => {
+  // Guards against a paused daemon deciding by outdated state. While it is paused, another daemon claims the key and seals the log. The version
+  // that the paused daemon knows is outdated, so it must read the head before it can claim.
   const store = new StandInStore()
-  const sleeper = new ShardLog({ store, shard: 0 })
-  await valueOf(sleeper.claim(claimOf('first', 'a~1'), steadyNow() + LONG_MS))
+  const paused = new ShardLog({ store, shard: 0 })
+  await valueOf(paused.claim(claimOf('first', 'a~1'), steadyNow() + LONG_MS))
   const other = new ShardLog({ store, shard: 0, intervalMs: 1 })
   for (let i = 0; i <= SEAL_AT; i++) await valueOf(other.claim(claimOf(`k${i}`, `b~${i}`), steadyNow() + LONG_MS))
-  expect(await valueOf(sleeper.claim(claimOf('k7', 'a~2'), steadyNow() + LONG_MS))).toEqual({ type: 'repeated', request: 'b~7' })
+  expect(await valueOf(paused.claim(claimOf('k7', 'a~2'), steadyNow() + LONG_MS))).toEqual({ type: 'repeated', request: 'b~7' })
 })
 
-test('a write that was applied without an answer counts as claimed', async () => {
-  // The store applies the claim and the answer is lost. Told "not run", the caller would send again with a new key; told nothing, the
-  // letter would never be written. Reading back finds the daemon's own write.
+test('a write that is applied but whose response is lost counts as claimed', async () => {
+  // Guards against reporting a failure after the store applied the claim and its response was lost. Told `not-run`, the caller would send the request
+  // again with a new key; told nothing, the request would never be run. Reading back finds the daemon's own write.
   const store = new StandInStore()
   store.faults.loseAnswers = 1
   expect(await valueOf(new ShardLog({ store, shard: 0 }).claim(claimOf('k', 'a~1'), steadyNow() + LONG_MS))).toEqual({ type: 'claimed' })
 })
 
-test('with the store down a claim waits until its deadline, then fails with nothing run', async () => {
+test('with the store down a claim waits until its deadline, then fails before anything is run', async () => {
   const store = new StandInStore()
   store.faults.down = true
   const log = new ShardLog({ store, shard: 0 })
@@ -70,9 +70,9 @@
   expect(second).toMatchObject({ status: 'fulfilled', value: { type: 'claimed' } })
 })
 
-test('a key that repeats while the next write waits its turn is not written again', async () => {
-  // Found by the schedules below. A letter is sent, and sent again within the commit interval with another key before it: the second
-  // waited through the interval and went into the next batch without being held against the claims made meanwhile.
+test('a key that is repeated during the commit interval is not written again', async () => {
+  // Guards against writing a claim without comparing it with claims made while it waited. A repeat sent within the commit interval, after a claim of
+  // another key, went into the next batch unchecked. The fault schedules below found it.
   const store = new StandInStore()
   const log = new ShardLog({ store, shard: 0 })
   const first = log.claim(claimOf('k', 'a~1'), steadyNow() + LONG_MS)
@@ -89,7 +89,7 @@
   expect(await valueOf(log.claim(claimOf('k', 'a~2', 'other'), steadyNow() + LONG_MS))).toEqual({ type: 'other-body' })
 })
 
-test('claims outlive sealing, merging and the daemon, until they are too old', async () => {
+test('claims are kept across sealing, merging and restarts until they expire', async () => {
   const store = new StandInStore()
   const log = new ShardLog({ store, shard: 0, intervalMs: 0, keptMs: 24 * 3_600_000 })
   for (let batch = 0; batch < 20; batch++) {
@@ -117,8 +117,8 @@
 
 interface Claimer { claim (claim: Claim, expiresAtMs: number): Promise<ClaimResult> }
 
-/** Claims held in each daemon's memory: what the log is compared with. */
-class NaiveLog implements Claimer {
+/** Baseline for comparison that keeps claims only in each daemon's memory. */
+class InMemoryLog implements Claimer {
   readonly #claims = new Map<KeyHash, Claim>()
   async claim (claim: Claim): Promise<ClaimResult> {
     const holder = this.#claims.get(claim.key)
@@ -128,7 +128,7 @@
   }
 }
 
-/** Runs a schedule; returns how often each key was claimed, by every word that a claimer got. */
+/** Runs a schedule. Returns how often each key was reported as claimed. */
 async function runSchedule (events: readonly Event[], make: (store: StandInStore) => Claimer): Promise<number[]> {
   const store = new StandInStore()
   const daemons = [make(store), make(store), make(store)]
@@ -154,13 +154,13 @@
   else store.faults.slowMs = fault === 'slow' ? 300 : 0
 }
 
-test('under any schedule of faults no key is claimed twice, where claims in memory are', async () => {
-  let naiveDoubled = 0
+test('no key is claimed twice under any schedule of faults, unlike with claims in memory', async () => {
+  let baselineDoubled = 0
   await fc.assert(fc.asyncProperty(fc.array(event, { minLength: 5, maxLength: 40 }), async (events) => {
     const claimed = await runSchedule(events, (store) => new ShardLog({ store, shard: 0 }))
     expect(Math.max(...claimed)).toBeLessThanOrEqual(1)
-    const naive = await runSchedule(events.filter((each) => each.type !== 'wait'), () => new NaiveLog())
-    if (Math.max(...naive) > 1) naiveDoubled++
+    const baseline = await runSchedule(events.filter((each) => each.type !== 'wait'), () => new InMemoryLog())
+    if (Math.max(...baseline) > 1) baselineDoubled++
   }), { seed: SEED, numRuns: 80 })
-  expect(naiveDoubled).toBeGreaterThan(25)
+  expect(baselineDoubled).toBeGreaterThan(25)
 })
