--- a/daemon/limits/account_limits.ts
+++ b/daemon/limits/account_limits.ts
@@ -1,4 +1,4 @@
-/** Holds client accounts to their quotas, over all daemons. */
+/** Enforces the quotas of client accounts across all daemons. */
 import type { Account, Quota } from '../../core/catalog/index.ts'
 import type { AccountId, DaemonId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
@@ -12,38 +12,40 @@
 /** Options of {@linkcode AccountLimits}. */
 export interface AccountLimitsOptions {
   self: DaemonId
-  /** Name of this daemon's host; the same after a restart. */
+  /** Name of this daemon's host. Stays the same across restarts. */
   host: string
   tolerance: QuotaTolerance
   membership: MembershipTask
   fleet: FleetSize
 }
 
-/** What was granted; given back when the request was not sent to any endpoint. */
+/** A granted charge. Must be given back if the request was not sent to any endpoint. */
 export interface Charge { giveBack (): void }
 
-/** A quota has no room for a request now: what the request costs, and what was left, in the quota's unit. */
+/** Denial of a request that exceeds its quota: the cost of the request and what was left of the quota, in the quota's unit. */
 export interface OverQuota { retryAfterMs: number, cost: number, room: number }
 
-type Ask = readonly [account: AccountId, cost: number]
-interface Heard { levels: AccountLevel[] }
-/** A keeper's last word to a daemon that has chosen another. */
-interface Freed { number: number, levels: AccountLevel[] }
+/** Cost to charge to an account. */
+type QuotaRequest = readonly [account: AccountId, cost: number]
+/** Answer of a keeper to a vote or a probe. */
+interface KeeperReply { levels: AccountLevel[] }
+/** Answer of a keeper to a daemon that has withdrawn its vote. */
+interface WithdrawalReply { number: number, levels: AccountLevel[] }
 
-/** From a new link to the votes that it leads to, in milliseconds; several links come up together. */
-const SOON_MS = 30
-/** Longest wait for a keeper's word on a request, in milliseconds: several times the way there and back. */
+/** Delay between a new link and the vote it triggers, in milliseconds. Links often come up several at a time, and share one vote. */
+const VOTE_DELAY_MS = 30
+/** Timeout of a call to the keeper, in milliseconds: several round-trip times. */
 const ASK_TIMEOUT_MS = 120
 /**
- * Longest wait of a request while no keeper may grant, in milliseconds: the silence after which the next is chosen, the votes that are then due,
- * and the rest of the time that the last vote for the one before counts.
+ * Longest time that a request is held while no keeper may grant, in milliseconds: the silence after which the next keeper is chosen, the votes that
+ * are due then, and the remaining time in which the last vote for the previous keeper counts.
  */
-const HOLD_MS = KEEPER_SILENT_MS + 2 * VOTE_MS + ASK_TIMEOUT_MS
-/** Between two questions while nobody may grant, in milliseconds. */
-const ASK_AGAIN_MS = 50
-/** Rounds of votes between two attempts to go back to the keeper that all would choose first. */
-const PROBE_EVERY = 4
-const JOB = 'quotas'
+const MAX_HOLD_MS = KEEPER_SILENT_MS + 2 * VOTE_MS + ASK_TIMEOUT_MS
+/** Delay between attempts to charge a request while no keeper may grant, in milliseconds. */
+const ASK_RETRY_MS = 50
+/** Number of votes per probe of the members that rank above the chosen keeper. */
+const VOTES_PER_PROBE = 4
+const RANKING_JOB = 'quotas'
 const VOTE = 'quota-vote'
 const PROBE = 'quota-probe'
 const HEARD = 'quota-heard'
@@ -54,164 +56,168 @@
 const NO_CHARGE: Charge = { giveBack: () => {} }
 
 /**
- * Asks one daemon, the keeper, for each request of an account with a quota.
+ * Charges each request of an account with a quota at the keeper, one daemon that counts for all.
  *
- * All daemons rank the members alike and choose the first that answers. One that reaches nobody counts for itself, for its own part of every
- * quota.
+ * All daemons rank the members in the same order and choose the first one that answers. A daemon that reaches no other counts by itself, and may
+ * use only its own share of every quota.
  */
 export class AccountLimits {
   readonly #options: AccountLimitsOptions
-  /** What this daemon counts: for those that chose it, or only for itself. */
-  readonly #keeper: QuotaKeeper
+  /** Counts for the daemons that chose this one, or only for this daemon. */
+  readonly #localKeeper: QuotaKeeper
   readonly #quotas = new Map<AccountId, Quota>()
   readonly #choice: KeeperChoice
-  #chosen: DaemonId | undefined
-  /** Levels as the chosen keeper last told them. */
+  /** The chosen keeper; undefined for this daemon itself. */
+  #chosenId: DaemonId | undefined
+  /** Bucket levels last reported by the chosen keeper. */
   #levels: AccountLevel[] = []
-  /** Levels that the keeper before told, until the chosen one knows them. */
-  #told: AccountLevel[] = []
-  #rounds = 0
+  /** Bucket levels reported by the previous keeper, until the chosen keeper has received them. */
+  #inheritedLevels: AccountLevel[] = []
+  #voteRounds = 0
   #votedAtMs = -Infinity
-  /** On the steady clock, which begins with the process: a vote of one that ran here before may count until then. */
-  #freeAtMs = VOTE_KEPT_MS
-  /** What that was before the last change of keeper. */
-  #freeBeforeMs = VOTE_KEPT_MS
-  /** Votes and withdrawals so far. */
-  #number = 0
-  /** The withdrawal that its keeper has not confirmed. */
-  #withdrawal: number | undefined
-  #asks: Array<{ ask: Ask, decide: (grant: Grant, from: DaemonId | undefined) => void }> = []
-  #timer: NodeJS.Timeout | undefined
-  #soon: NodeJS.Timeout | undefined
+  /**
+   * Time until which a vote for an earlier keeper may count, in milliseconds on the steady clock. That clock starts with the process, and a vote by the
+   * previous process on this host may count for up to `VOTE_KEPT_MS`.
+   */
+  #priorVoteEndsAtMs = VOTE_KEPT_MS
+  /** Value of `#priorVoteEndsAtMs` before the last change of keeper. */
+  #priorVoteEndsBeforeChangeMs = VOTE_KEPT_MS
+  /** Number of the last vote or withdrawal. */
+  #sequence = 0
+  /** Number of the last withdrawal, until the keeper confirms it. */
+  #pendingWithdrawal: number | undefined
+  #pendingAsks: Array<{ ask: QuotaRequest, decide: (grant: Grant, from: DaemonId | undefined) => void }> = []
+  #interval: NodeJS.Timeout | undefined
+  #voteTimer: NodeJS.Timeout | undefined
   #onVote: () => void = () => {}
 
   constructor (options: AccountLimitsOptions) {
     this.#options = options
-    this.#keeper = new QuotaKeeper({ tolerance: options.tolerance })
+    this.#localKeeper = new QuotaKeeper({ tolerance: options.tolerance })
     this.#choice = new KeeperChoice(options.self)
     const { links } = options.membership
-    links.onPost(VOTE, (vote: Vote, from) => this.#voted(from, vote))
-    links.onPost(PROBE, (_nothing: null, from) => links.post(from, HEARD, { levels: [] } satisfies Heard))
-    links.onPost(HEARD, ({ levels }: Heard, from) => this.#heard(from, levels))
-    links.onPost(WITHDRAWN, (number: number, from) => this.#withdrawn(from, number))
-    links.onPost(FREED, (freed: Freed) => this.#freed(freed))
-    links.onPost(GIVEN_BACK, ([account, cost]: Ask) => this.#keeper.giveBack(account, cost))
-    options.membership.onLink(() => { if (this.#timer) this.#voteSoon() })
-    links.handle(ASK, async (asks: Ask[], { from }) => {
-      this.#keeper.heard(from, steadyNow())
-      return asks.map((ask) => this.#askHere(ask))
+    links.onPost(VOTE, (vote: Vote, from) => this.#onVoted(from, vote))
+    links.onPost(PROBE, (_nothing: null, from) => links.post(from, HEARD, { levels: [] } satisfies KeeperReply))
+    links.onPost(HEARD, ({ levels }: KeeperReply, from) => this.#onHeard(from, levels))
+    links.onPost(WITHDRAWN, (number: number, from) => this.#onWithdrawn(from, number))
+    links.onPost(FREED, (freed: WithdrawalReply) => this.#onFreed(freed))
+    links.onPost(GIVEN_BACK, ([account, cost]: QuotaRequest) => this.#localKeeper.giveBack(account, cost))
+    options.membership.onLink(() => { if (this.#interval) this.#scheduleVote() })
+    links.handle(ASK, async (asks: QuotaRequest[], { from }) => {
+      this.#localKeeper.heard(from, steadyNow())
+      return asks.map((ask) => this.#askLocal(ask))
     })
   }
 
-  /** While daemons find each other, all of them wait for the votes that follow. */
-  #voteSoon (): void {
-    this.#soon ??= setTimeout(() => {
-      this.#soon = undefined
+  /** Schedules an early vote. While daemons discover each other, requests wait for the votes that follow. */
+  #scheduleVote (): void {
+    this.#voteTimer ??= setTimeout(() => {
+      this.#voteTimer = undefined
       this.#vote()
-    }, SOON_MS)
+    }, VOTE_DELAY_MS)
   }
 
-  /** The daemon that this one has chosen to count; undefined for itself. */
-  get keeper (): DaemonId | undefined { return this.#chosen }
+  /** The daemon chosen as keeper; undefined if this daemon counts itself. */
+  get keeper (): DaemonId | undefined { return this.#chosenId }
 
-  /** Calls the listener with each vote that is due; what it posts to the keeper travels with the vote. */
+  /** Calls the listener after each regular vote. What it posts to the keeper is sent together with the vote. */
   onVote (listener: () => void): void {
     this.#onVote = listener
   }
 
-  /** Puts the quotas of a configuration in force. */
+  /** Applies the quotas of a configuration. */
   apply (accounts: Iterable<Account>): void {
     this.#quotas.clear()
     for (const { id, quota } of accounts) if (quota) this.#quotas.set(id, quota)
-    this.#keeper.apply(this.#quotas, steadyNow())
+    this.#localKeeper.apply(this.#quotas, steadyNow())
   }
 
-  /** Takes another tolerance; a lower one binds at once. */
+  /** Changes the tolerance. A lower one applies at once. */
   tolerate (tolerance: QuotaTolerance): void {
-    this.#keeper.tolerate(tolerance, steadyNow())
+    this.#localKeeper.tolerate(tolerance, steadyNow())
   }
 
-  /** Begins to vote. */
+  /** Starts voting. */
   start (): void {
-    this.#timer = setInterval(() => {
+    this.#interval = setInterval(() => {
       this.#vote()
       this.#onVote()
     }, VOTE_MS)
     this.#vote()
   }
 
-  /** Stops; the keeper counts for one daemon less. */
+  /** Stops voting and withdraws this daemon's vote. */
   stop (): void {
-    clearInterval(this.#timer)
-    clearTimeout(this.#soon)
-    this.#timer = undefined
-    if (this.#chosen !== undefined) this.#options.membership.links.post(this.#chosen, WITHDRAWN, ++this.#number)
+    clearInterval(this.#interval)
+    clearTimeout(this.#voteTimer)
+    this.#interval = undefined
+    if (this.#chosenId !== undefined) this.#options.membership.links.post(this.#chosenId, WITHDRAWN, ++this.#sequence)
   }
 
   /**
-   * Charges a request to its account, or tells when there will be room.
+   * Charges a request to its account, or returns when to retry if it exceeds the quota.
    *
-   * While the daemons change from a keeper that died to the next, none may grant, and callers well within their quotas would be refused all at
-   * once: their requests wait for the next keeper instead.
+   * After a keeper fails, no daemon may grant until the next one is established. Requests are held for that time, since otherwise callers
+   * well within their quotas would all be refused.
    */
   async charge (account: AccountId, demand: Demand | undefined): Promise<Charge | OverQuota> {
     const quota = this.#quotas.get(account)
     if (!quota) return NO_CHARGE
     const cost = costOf(quota, demand)
-    const untilMs = steadyNow() + HOLD_MS
+    const untilMs = steadyNow() + MAX_HOLD_MS
     for (;;) {
       const { grant, from } = await this.#ask([account, cost])
       if (grant.granted) return { giveBack: () => this.#giveBack([account, cost], from) }
       if (!grant.unknown || steadyNow() >= untilMs) return { retryAfterMs: grant.retryAfterMs, cost, room: grant.room }
-      await delay(ASK_AGAIN_MS)
+      await delay(ASK_RETRY_MS)
     }
   }
 
-  /** Asks of one turn of the event loop travel together. */
-  #ask (ask: Ask): Promise<{ grant: Grant, from: DaemonId | undefined }> {
-    if (this.#chosen === undefined) return Promise.resolve({ grant: this.#askHere(ask), from: undefined })
-    if (this.#asks.length === 0) setImmediate(() => this.#send())
-    return new Promise((resolve) => this.#asks.push({ ask, decide: (grant, from) => resolve({ grant, from }) }))
+  /** Asks for a grant. Requests made in one turn of the event loop are sent in one call. */
+  #ask (ask: QuotaRequest): Promise<{ grant: Grant, from: DaemonId | undefined }> {
+    if (this.#chosenId === undefined) return Promise.resolve({ grant: this.#askLocal(ask), from: undefined })
+    if (this.#pendingAsks.length === 0) setImmediate(() => this.#sendAsks())
+    return new Promise((resolve) => this.#pendingAsks.push({ ask, decide: (grant, from) => resolve({ grant, from }) }))
   }
 
-  async #send (): Promise<void> {
-    const asks = this.#asks
-    this.#asks = []
-    const keeper = this.#chosen === undefined ? undefined : this.#options.membership.core.member(this.#chosen)
+  async #sendAsks (): Promise<void> {
+    const asks = this.#pendingAsks
+    this.#pendingAsks = []
+    const keeper = this.#chosenId === undefined ? undefined : this.#options.membership.core.member(this.#chosenId)
     const grants = keeper && await this.#callKeeper(keeper, asks.map(({ ask }) => ask))
-    asks.forEach(({ ask, decide }, i) => (grants ? decide(grants[i]!, keeper!.id) : decide(this.#askHere(ask), undefined)))
+    asks.forEach(({ ask, decide }, i) => (grants ? decide(grants[i]!, keeper!.id) : decide(this.#askLocal(ask), undefined)))
   }
 
-  /** A keeper that does not answer in time may have granted: that is lost, and this daemon's own part decides. */
-  async #callKeeper (keeper: Member, asks: Ask[]): Promise<Grant[] | undefined> {
+  /** Asks the keeper. If it doesn't answer in time, its grants are lost from the quota if it made any, and the caller decides by this daemon's own share. */
+  async #callKeeper (keeper: Member, asks: QuotaRequest[]): Promise<Grant[] | undefined> {
     try {
       return await this.#options.membership.links.call(keeper, ASK, asks, { timeoutMs: ASK_TIMEOUT_MS }) as Grant[]
     } catch (err) {
       log('keeper-silent', { keeper: keeper.id, requests: asks.length, why: (err as Error).message })
-      this.#dial(keeper)
+      this.#connect(keeper)
       return undefined
     }
   }
 
-  #askHere ([account, cost]: Ask): Grant {
-    return this.#keeper.ask(account, cost, this.#at())
+  #askLocal ([account, cost]: QuotaRequest): Grant {
+    return this.#localKeeper.ask(account, cost, this.#keeperInput())
   }
 
-  #giveBack (ask: Ask, from: DaemonId | undefined): void {
-    if (from === undefined) this.#keeper.giveBack(...ask)
+  #giveBack (ask: QuotaRequest, from: DaemonId | undefined): void {
+    if (from === undefined) this.#localKeeper.giveBack(...ask)
     else this.#options.membership.links.post(from, GIVEN_BACK, ask)
   }
 
-  #at (): { now: number, all: number } {
+  #keeperInput (): { now: number, all: number } {
     return { now: steadyNow(), all: this.#options.fleet.all }
   }
 
   #vote (): void {
     const { self } = this.#options
-    this.#choose()
+    this.#chooseKeeper()
     const ranked = this.#ranked()
-    const chosen = this.#chosen ?? self
-    if (this.#rounds++ % PROBE_EVERY === 0) {
+    const chosen = this.#chosenId ?? self
+    if (this.#voteRounds++ % VOTES_PER_PROBE === 0) {
       for (const better of ranked.slice(0, ranked.findIndex(({ id }) => id === chosen))) this.#post(better, PROBE, null)
     }
     this.#castVote()
@@ -220,77 +226,80 @@
   #castVote (): void {
     const { host, membership, self } = this.#options
     const now = steadyNow()
-    const vote: Vote = { host, number: ++this.#number, told: this.#told, freeInMs: Math.max(0, this.#freeAtMs - now) }
-    const keeper = this.#chosen === undefined ? undefined : membership.core.member(this.#chosen)
-    if (this.#chosen === undefined) this.#keeper.vote(self, now, vote)
-    // One that could not be sent counts nowhere, and delays no later one.
+    const vote: Vote = { host, number: ++this.#sequence, told: this.#inheritedLevels, freeInMs: Math.max(0, this.#priorVoteEndsAtMs - now) }
+    const keeper = this.#chosenId === undefined ? undefined : membership.core.member(this.#chosenId)
+    if (this.#chosenId === undefined) this.#localKeeper.vote(self, now, vote)
+    // A vote that could not be sent counts nowhere, so it must not delay a later vote.
     else if (!keeper || !this.#post(keeper, VOTE, vote)) return
     this.#votedAtMs = now
   }
 
-  #choose (): void {
+  #chooseKeeper (): void {
     const { self } = this.#options
     const first = this.#choice.choose(this.#ranked().map(({ id }) => id), steadyNow())
     const next = first === self ? undefined : first
-    if (next === this.#chosen) return
-    log('keeper-chosen', { keeper: next ?? self, before: this.#chosen ?? self })
-    this.#withdrawFrom(this.#chosen)
-    this.#chosen = next
-    this.#told = this.#levels
+    if (next === this.#chosenId) return
+    log('keeper-chosen', { keeper: next ?? self, before: this.#chosenId ?? self })
+    this.#withdrawFrom(this.#chosenId)
+    this.#chosenId = next
+    this.#inheritedLevels = this.#levels
   }
 
-  /** A keeper that confirms frees the vote at once, as does one without a process, which counts nothing; with any other it must run out. */
+  /**
+   * Withdraws the vote from a keeper. The next vote counts once the keeper confirms, or at once if no process runs at its address. If the keeper
+   * does not confirm, the vote has to expire first.
+   */
   #withdrawFrom (keeper: DaemonId | undefined): void {
-    const number = ++this.#number
-    if (keeper === undefined) return this.#keeper.withdraw(this.#options.self, steadyNow(), number)
+    const number = ++this.#sequence
+    if (keeper === undefined) return this.#localKeeper.withdraw(this.#options.self, steadyNow(), number)
     if (this.#choice.isGone(keeper)) return
     this.#options.membership.links.post(keeper, WITHDRAWN, number)
-    this.#withdrawal = number
-    this.#freeBeforeMs = this.#freeAtMs
-    this.#freeAtMs = Math.max(this.#freeAtMs, this.#votedAtMs + VOTE_KEPT_MS)
+    this.#pendingWithdrawal = number
+    this.#priorVoteEndsBeforeChangeMs = this.#priorVoteEndsAtMs
+    this.#priorVoteEndsAtMs = Math.max(this.#priorVoteEndsAtMs, this.#votedAtMs + VOTE_KEPT_MS)
   }
 
-  #withdrawn (from: DaemonId, number: number): void {
-    this.#keeper.withdraw(from, steadyNow(), number)
-    this.#options.membership.links.post(from, FREED, { number, levels: this.#keeper.levels(this.#at()) } satisfies Freed)
+  #onWithdrawn (from: DaemonId, number: number): void {
+    this.#localKeeper.withdraw(from, steadyNow(), number)
+    this.#options.membership.links.post(from, FREED, { number, levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies WithdrawalReply)
   }
 
-  #freed ({ number, levels }: Freed): void {
-    if (number !== this.#withdrawal) return
-    this.#withdrawal = undefined
-    this.#freeAtMs = this.#freeBeforeMs
-    this.#told = levels
+  #onFreed ({ number, levels }: WithdrawalReply): void {
+    if (number !== this.#pendingWithdrawal) return
+    this.#pendingWithdrawal = undefined
+    this.#priorVoteEndsAtMs = this.#priorVoteEndsBeforeChangeMs
+    this.#inheritedLevels = levels
     this.#castVote()
   }
 
   #ranked (): readonly Member[] {
-    return this.#options.membership.rankedFor(JOB)
+    return this.#options.membership.rankedFor(RANKING_JOB)
   }
 
-  #voted (from: DaemonId, vote: Vote): void {
-    this.#keeper.vote(from, steadyNow(), vote)
-    this.#options.membership.links.post(from, HEARD, { levels: this.#keeper.levels(this.#at()) } satisfies Heard)
+  #onVoted (from: DaemonId, vote: Vote): void {
+    this.#localKeeper.vote(from, steadyNow(), vote)
+    this.#options.membership.links.post(from, HEARD, { levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies KeeperReply)
   }
 
-  #heard (from: DaemonId, levels: AccountLevel[]): void {
+  #onHeard (from: DaemonId, levels: AccountLevel[]): void {
     this.#choice.heard(from, steadyNow())
-    if (from !== this.#chosen || levels.length === 0) return
+    if (from !== this.#chosenId || levels.length === 0) return
     this.#levels = levels
-    this.#told = []
+    this.#inheritedLevels = []
   }
 
-  /** A link is dialled when there is none; its first message may come too late, and the next does not. */
+  /** Posts a message. Without a link the message is dropped and a link is opened for the next one. */
   #post (to: Member, topic: string, value: unknown): boolean {
     const { links } = this.#options.membership
     if (links.post(to.id, topic, value)) return true
-    this.#dial(to)
+    this.#connect(to)
     return false
   }
 
-  /** Of many daemons that died at once each would be waited for in turn; the addresses of those without a process say so at once. */
-  async #dial (to: Member): Promise<void> {
+  /** Opens a link. An address that refuses the connection has no process and is passed over at once; after many failures, waiting for each daemon in turn would take too long. */
+  async #connect (to: Member): Promise<void> {
     if (await this.#options.membership.links.connect(to) !== 'gone') return
     this.#choice.refused(to.id, steadyNow())
-    if (this.#timer) this.#voteSoon()
+    if (this.#interval) this.#scheduleVote()
   }
 }
