--- a/daemon/limits/account_limits.ts
+++ b/daemon/limits/account_limits.ts
@@ -43,7 +43,7 @@
 const MAX_HOLD_MS = KEEPER_SILENT_MS + 2 * VOTE_MS + ASK_TIMEOUT_MS
 /** Delay between attempts to charge a request while no keeper may grant, in milliseconds. */
 const ASK_RETRY_MS = 50
-/** Number of votes per probe of the members that rank above the chosen keeper. */
+/** Number of votes per probe of the members that rank above the chosen keeper. A probe that is answered lets this daemon return to the highest-ranked one. */
 const VOTES_PER_PROBE = 4
 const RANKING_JOB = 'quotas'
 const VOTE = 'quota-vote'
@@ -296,7 +296,10 @@
     return false
   }
 
-  /** Opens a link. An address that refuses the connection has no process and is passed over at once; after many failures, waiting for each daemon in turn would take too long. */
+  /**
+   * Opens a link. A daemon whose address refuses the connection has no process and is passed over at once. If many daemons fail together,
+   * each of them would otherwise be waited for in turn.
+   */
   async #connect (to: Member): Promise<void> {
     if (await this.#options.membership.links.connect(to) !== 'gone') return
     this.#choice.refused(to.id, steadyNow())
--- a/daemon/once/shard_log.ts
+++ b/daemon/once/shard_log.ts
@@ -156,7 +156,10 @@
     this.#collectGarbage()
   }
 
-  /** Deletes unreferenced segments. Must run only after the head that no longer names them is written. A segment whose deletion fails stays as an unused object. */
+  /**
+   * Deletes unreferenced segments. Must run only after the head that no longer names them is written. A segment whose deletion fails stays as
+   * an unused object.
+   */
   async #collectGarbage (): Promise<void> {
     const objects = this.#garbage.splice(0)
     for (const object of objects) {
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -297,7 +297,10 @@
     }
   }
 
-  /** Reports the first answer with the prediction uncorrected by the endpoint's learnt slowness, which would hide a version that is slow at all its endpoints. */
+  /**
+   * Reports the first answer. The prediction excludes the endpoint's learnt slowness, which would hide a version that is slow at all of its
+   * endpoints.
+   */
   #reportFirstAnswer (endpoint: EndpointId, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
     const view = this.ports.table.get(endpoint)
     if (view) this.ports.answers?.answered(view, this.work.cls.name, { tookMs, predictedMs: predictedMs / view.slowness })
@@ -345,7 +348,10 @@
     this.#recordFailure(endpoint, err, { attempt, repeat: retryGranted ? 'allowed' : repeatable ? 'over-budget' : 'not-allowed' })
   }
 
-  /** Retries of attempts that reached no endpoint are free, since they cost no endpoint any work. They are limited, or a pool that refuses all connections would be retried forever. */
+  /**
+   * Returns whether a retry is free. An attempt that reached no endpoint cost no endpoint any work, so its retry is not charged to the budget. The
+   * number of free retries is limited, since a pool that refuses all connections would otherwise be retried forever.
+   */
   #isFreeRetry (point: FailurePoint): boolean {
     return !reachedEndpoint(point) && this.lifecycle.avoid.length < MAX_FREE_RETRIES
   }
@@ -403,7 +409,10 @@
     this.listeners.notify()
   }
 
-  /** Counts the result. A repeated idempotency key, which the earlier request answers, is counted as `repeated`: as `not-run` it would look like a missed target. */
+  /**
+   * Counts the result. A repeated idempotency key, which the earlier request answers, is counted as `repeated`: as `not-run` it would look like a
+   * missed target.
+   */
   #recordFinish (final: FinalWord): void {
     const { metrics } = this.ports
     const cls = metrics.labelOf(this.work.cls.name)
--- a/daemon/request/stall_watch_test.ts
+++ b/daemon/request/stall_watch_test.ts
@@ -6,7 +6,7 @@
 import { StallWatch, type WatchedRequest } from './stall_watch.ts'
 
 const POOL = as<PoolName>('llm')
-const [DARK, OTHER] = ['dark', 'other'].map((name) => as<EndpointId>(name)) as [EndpointId, EndpointId]
+const [SILENT, OTHER] = ['silent', 'other'].map((name) => as<EndpointId>(name)) as [EndpointId, EndpointId]
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
@@ -24,7 +24,7 @@
 function start (...streams: Stream[]) {
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash: (text) => text.length })
   const speed = { batchSlots: 8, prefillTokensPerS: 1000, betweenTokensMs: 1, betweenTokensPerStreamMs: 0, exportTokensPerS: 0, importTokensPerS: 0 }
-  table.listed([DARK, OTHER].map((id) => ({ hostId: as<HostId>(id), hostClass: 'llm', failureDomain: as('a'), reclaimable: true, pricePerHour: 0, state: 'live', endpoint: { id, pool: POOL, address: id, speed, learnsPace: true } })))
+  table.listed([SILENT, OTHER].map((id) => ({ hostId: as<HostId>(id), hostClass: 'llm', failureDomain: as('a'), reclaimable: true, pricePerHour: 0, state: 'live', endpoint: { id, pool: POOL, address: id, speed, learnsPace: true } })))
   const watch = new StallWatch({ table, open: () => streams })
   watch.start()
   const piece = (stream: Stream) => {
@@ -43,10 +43,10 @@
 test('an endpoint that stops responding gets no new work, and its streams move to other endpoints, within a second', () => {
   // Guards against callers waiting until they give up. An endpoint stops responding with its connections open, so its streams stall and new requests
   // are still sent to it.
-  const [stuck, fine] = [new Stream(DARK), new Stream(OTHER)]
-  const { watch, piece, usable } = start(stuck, fine)
+  const [stalled, fine] = [new Stream(SILENT), new Stream(OTHER)]
+  const { watch, piece, usable } = start(stalled, fine)
   for (let i = 0; i < 10; i++) {
-    piece(stuck)
+    piece(stalled)
     piece(fine)
     vi.advanceTimersByTime(100)
   }
@@ -54,43 +54,43 @@
     piece(fine)
     vi.advanceTimersByTime(100)
   }
-  expect([stuck.moves > 0, fine.moves]).toEqual([true, 0])
+  expect([stalled.moves > 0, fine.moves]).toEqual([true, 0])
   expect(usable()).toEqual([OTHER])
   watch.stop()
 })
 
 test('a silent endpoint is tried again later, and any message from it ends the silence', () => {
-  const stuck = new Stream(DARK)
-  const { table, watch, usable } = start(stuck)
+  const stalled = new Stream(SILENT)
+  const { table, watch, usable } = start(stalled)
   vi.advanceTimersByTime(1000)
   expect(usable()).toEqual([OTHER])
-  stuck.runningAt = undefined
+  stalled.runningAt = undefined
   vi.advanceTimersByTime(1100)
-  expect(usable()).toEqual([DARK, OTHER])
-  table.heard(DARK)
-  expect(table.lastWordAtMs(DARK)).toBe(steadyNow())
+  expect(usable()).toEqual([SILENT, OTHER])
+  table.heard(SILENT)
+  expect(table.lastWordAtMs(SILENT)).toBe(steadyNow())
   watch.stop()
 })
 
 test('an attempt that is delayed behind others at a busy endpoint gets more time, and the endpoint stays usable', () => {
-  const [behind, fine] = [new Stream(DARK), new Stream(DARK)]
-  const { watch, piece, usable } = start(behind, fine)
+  const [delayed, fine] = [new Stream(SILENT), new Stream(SILENT)]
+  const { watch, piece, usable } = start(delayed, fine)
   for (let i = 0; i < 12; i++) {
     piece(fine)
     vi.advanceTimersByTime(100)
   }
-  expect([behind.moves, usable()]).toEqual([0, [DARK, OTHER]])
+  expect([delayed.moves, usable()]).toEqual([0, [SILENT, OTHER]])
   for (let i = 0; i < 6; i++) {
     piece(fine)
     vi.advanceTimersByTime(100)
   }
-  expect([behind.moves > 0, usable()]).toEqual([true, [DARK, OTHER]])
+  expect([delayed.moves > 0, usable()]).toEqual([true, [SILENT, OTHER]])
   watch.stop()
 })
 
 test('a process that was paused does not treat endpoints as silent for the time of the pause', () => {
   // Guards against a daemon refusing requests for a second. After its host froze, every endpoint seemed to have been silent for the whole pause.
-  const [one, two] = [new Stream(DARK), new Stream(OTHER)]
+  const [one, two] = [new Stream(SILENT), new Stream(OTHER)]
   const { watch, piece, usable } = start(one, two)
   for (let i = 0; i < 5; i++) {
     piece(one)
@@ -101,7 +101,7 @@
   vi.advanceTimersByTime(7000)
   watch.start()
   vi.advanceTimersByTime(300)
-  expect([one.moves, two.moves, usable()]).toEqual([0, 0, [DARK, OTHER]])
+  expect([one.moves, two.moves, usable()]).toEqual([0, 0, [SILENT, OTHER]])
   piece(one)
   piece(two)
   vi.advanceTimersByTime(300)
