--- a/core/reclaim/_improve.ts
+++ b/core/reclaim/_improve.ts
@@ -1,108 +1,113 @@
-/** Local search: makes a plan cheaper by moving one stream, or by moving one out of another's way. */
+/** Local search that lowers the price of a plan by reassigning one stream, or by displacing another stream to make room for it. */
 import type { EndpointId } from '../ids/index.ts'
 import { directivePrice, exportBudgetMs, type Directive, type ReclaimProblem, type Source, type ThreatenedStream } from './problem.ts'
-import type { Rooms } from './_rooms.ts'
+import type { CapacityTracker } from './_rooms.ts'
 
-/** One stream with its place in the plan. */
-export interface Placed { stream: ThreatenedStream, directive: Directive, price: number }
+/** A stream, the directive planned for it and the price of that directive. */
+export interface Placement { stream: ThreatenedStream, directive: Directive, price: number }
 
-const SMALLEST_GAIN = 1e-12
-/** A daemon's subset is no larger. */
-const TARGETS_SEARCHED = 24
+/** Gains up to this size count as none. */
+const MIN_GAIN = 1e-12
+/** Maximum number of targets that the search considers; the subset of endpoints that a daemon uses is no larger. */
+const MAX_TARGETS_SEARCHED = 24
 
-/** Prices left to look at: bounds the time of a search whatever the problem's shape. */
-interface Allowance { left: number }
+/** Number of prices the search may still compute; bounds its running time for any problem. */
+interface EvaluationBudget { left: number }
 
 /**
- * Improves placements in place until nothing helps or `looks` prices were looked at.
+ * Improves placements in place until no change lowers the price or `maxEvaluations` prices have been computed.
  *
- * A greedy plan fills a scarce target with whoever comes first; a stream that only fits there then pays for it. One exchange finds that.
+ * A greedy plan may fill a scarce target with a stream that would also fit elsewhere, at the expense of a later stream that fits only there. Displacing
+ * one stream corrects this.
  */
-export function improve (placed: readonly Placed[], rooms: Rooms, problem: ReclaimProblem, looks: number): void {
-  const allowance: Allowance = { left: looks }
-  const search: Search = { rooms, problem, budget: budgetOf(placed, rooms), targets: [...problem.targets.keys()].slice(0, TARGETS_SEARCHED), allowance }
+export function improvePlan (placements: readonly Placement[], capacity: CapacityTracker, problem: ReclaimProblem, maxEvaluations: number): void {
+  const evaluations: EvaluationBudget = { left: maxEvaluations }
+  const search: SearchContext = { capacity, problem, exportBudgetOf: exportBudgets(placements, capacity), targets: [...problem.targets.keys()].slice(0, MAX_TARGETS_SEARCHED), evaluations }
   let improved = true
   while (improved) {
     improved = false
-    for (const one of placed) {
-      for (const wanted of alternatives(one, search.targets)) {
-        if (allowance.left <= 0) return
-        improved = take(one, wanted, placed, search) || improved
+    for (const placement of placements) {
+      for (const candidate of alternatives(placement, search.targets)) {
+        if (evaluations.left <= 0) return
+        improved = tryReassign(placement, candidate, placements, search) || improved
       }
     }
   }
 }
 
-interface Search { rooms: Rooms, problem: ReclaimProblem, budget: (source: Source) => number, targets: readonly EndpointId[], allowance: Allowance }
+interface SearchContext { capacity: CapacityTracker, problem: ReclaimProblem, exportBudgetOf: (source: Source) => number, targets: readonly EndpointId[], evaluations: EvaluationBudget }
 
-/** Rounding may have given a source more than its share; the search never gives it still more. */
-function budgetOf (placed: readonly Placed[], rooms: Rooms): (source: Source) => number {
-  const used = new Map<EndpointId, number>()
-  for (const { stream } of placed) used.set(stream.source, rooms.exported(stream.source))
-  return (source) => Math.max(exportBudgetMs(source), used.get(source.id) ?? 0)
+/** Export budget of each source. Where random rounding has already exceeded the share, the budget is what is used, so the search never exceeds it further. */
+function exportBudgets (placements: readonly Placement[], capacity: CapacityTracker): (source: Source) => number {
+  const usedMs = new Map<EndpointId, number>()
+  for (const { stream } of placements) usedMs.set(stream.source, capacity.usedExportMs(stream.source))
+  return (source) => Math.max(exportBudgetMs(source), usedMs.get(source.id) ?? 0)
 }
 
-function alternatives ({ stream, directive }: Placed, targets: readonly EndpointId[]): Directive[] {
-  const all: Directive[] = []
+function alternatives ({ stream, directive }: Placement, targets: readonly EndpointId[]): Directive[] {
+  const directives: Directive[] = []
   for (const target of targets) {
-    if (!('target' in directive) || directive.target !== target || directive.action !== 'import') all.push({ stream: stream.id, action: 'import', target })
-    if (!('target' in directive) || directive.target !== target || directive.action !== 'prefill') all.push({ stream: stream.id, action: 'prefill', target })
+    if (!('target' in directive) || directive.target !== target || directive.action !== 'import') directives.push({ stream: stream.id, action: 'import', target })
+    if (!('target' in directive) || directive.target !== target || directive.action !== 'prefill') directives.push({ stream: stream.id, action: 'prefill', target })
   }
-  return all
+  return directives
 }
 
-function take (one: Placed, wanted: Directive, placed: readonly Placed[], search: Search): boolean {
-  const { rooms, problem, budget, allowance } = search
-  allowance.left--
-  const price = directivePrice(one.stream, wanted, problem)
-  const gain = one.price - price
-  if (gain <= SMALLEST_GAIN) return false
-  rooms.add(one.stream, one.directive, -1)
-  if (rooms.fits(one.stream, wanted, budget)) return settle(one, wanted, price, rooms)
-  for (const other of placed) {
-    if (allowance.left <= 0) break
-    if (other !== one && inTheWay(other, one, wanted) && makeWay(one, wanted, other, gain, search)) return settle(one, wanted, price, rooms)
+function tryReassign (placement: Placement, candidate: Directive, placements: readonly Placement[], search: SearchContext): boolean {
+  const { capacity, problem, exportBudgetOf, evaluations } = search
+  evaluations.left--
+  const price = directivePrice(placement.stream, candidate, problem)
+  const gain = placement.price - price
+  if (gain <= MIN_GAIN) return false
+  capacity.add(placement.stream, placement.directive, -1)
+  if (capacity.fits(placement.stream, candidate, exportBudgetOf)) return reassign(placement, candidate, price, capacity)
+  for (const other of placements) {
+    if (evaluations.left <= 0) break
+    if (other !== placement && competesForCapacity(other, placement, candidate) && tryDisplace(placement, candidate, other, gain, search)) return reassign(placement, candidate, price, capacity)
   }
-  rooms.add(one.stream, one.directive)
+  capacity.add(placement.stream, placement.directive)
   return false
 }
 
-function settle (one: Placed, directive: Directive, price: number, rooms: Rooms): true {
-  one.directive = directive
-  one.price = price
-  rooms.add(one.stream, directive)
+function reassign (placement: Placement, directive: Directive, price: number, capacity: CapacityTracker): true {
+  placement.directive = directive
+  placement.price = price
+  capacity.add(placement.stream, directive)
   return true
 }
 
-function inTheWay (other: Placed, one: Placed, wanted: Directive): boolean {
-  if (!('target' in other.directive) || !('target' in wanted)) return false
-  return other.directive.target === wanted.target || (other.directive.action === 'import' && other.stream.source === one.stream.source)
+function competesForCapacity (other: Placement, placement: Placement, candidate: Directive): boolean {
+  if (!('target' in other.directive) || !('target' in candidate)) return false
+  return other.directive.target === candidate.target || (other.directive.action === 'import' && other.stream.source === placement.stream.source)
 }
 
-/** Moves `other` elsewhere if that costs less than `one` gains; its best way out is tried, the place `one` leaves included. */
-function makeWay (one: Placed, wanted: Directive, other: Placed, gain: number, search: Search): boolean {
-  const { rooms, budget } = search
-  rooms.add(other.stream, other.directive, -1)
-  if (rooms.fits(one.stream, wanted, budget)) {
-    rooms.add(one.stream, wanted)
-    const out = cheapestFit(other.stream, search)
-    rooms.add(one.stream, wanted, -1)
-    if (out.price - other.price < gain - SMALLEST_GAIN) return settle(other, out.directive, out.price, rooms)
+/**
+ * Displaces `other` if reassigning it costs less than `placement` gains. Only the cheapest directive for `other` is tried; the capacity that `placement`
+ * releases counts as free.
+ */
+function tryDisplace (placement: Placement, candidate: Directive, other: Placement, gain: number, search: SearchContext): boolean {
+  const { capacity, exportBudgetOf } = search
+  capacity.add(other.stream, other.directive, -1)
+  if (capacity.fits(placement.stream, candidate, exportBudgetOf)) {
+    capacity.add(placement.stream, candidate)
+    const replacement = cheapestFit(other.stream, search)
+    capacity.add(placement.stream, candidate, -1)
+    if (replacement.price - other.price < gain - MIN_GAIN) return reassign(other, replacement.directive, replacement.price, capacity)
   }
-  rooms.add(other.stream, other.directive)
+  capacity.add(other.stream, other.directive)
   return false
 }
 
-/** The cheapest directive that fits; holding always does. */
-function cheapestFit (stream: ThreatenedStream, { rooms, problem, budget, targets, allowance }: Search): { directive: Directive, price: number } {
+/** Returns the cheapest directive that fits; holding the stream always fits. */
+function cheapestFit (stream: ThreatenedStream, { capacity, problem, exportBudgetOf, targets, evaluations }: SearchContext): { directive: Directive, price: number } {
   const hold: Directive = { stream: stream.id, action: 'hold' }
   const best: { directive: Directive, price: number } = { directive: hold, price: directivePrice(stream, hold, problem) }
   for (const target of targets) {
     for (const action of ['import', 'prefill'] as const) {
-      allowance.left--
+      evaluations.left--
       const directive: Directive = { stream: stream.id, action, target }
       const price = directivePrice(stream, directive, problem)
-      if (price >= best.price || !rooms.fits(stream, directive, budget)) continue
+      if (price >= best.price || !capacity.fits(stream, directive, exportBudgetOf)) continue
       best.directive = directive
       best.price = price
     }
--- a/core/reclaim/_knapsack.ts
+++ b/core/reclaim/_knapsack.ts
@@ -1,32 +1,32 @@
-/** 0/1 knapsack by dynamic programming over a fixed number of capacity steps. */
+/** Solves the 0/1 knapsack problem by dynamic programming over a fixed number of capacity steps. */
 
-const STEPS = 256
+const CAPACITY_STEPS = 256
 
-/** Indexes of the items that together are worth most within the capacity; sizes are rounded up, so the choice always fits. */
+/** Returns the indexes of the items with the highest total value within the capacity. Sizes are rounded up to whole steps, so the selection always fits. */
 export function knapsack (items: readonly { size: number, value: number }[], capacity: number): number[] {
   if (capacity <= 0) return []
   if (items.reduce((sum, item) => sum + item.size, 0) <= capacity) return items.map((_, i) => i)
-  const best = new Float64Array(STEPS + 1)
-  const taken = items.map(() => new Uint8Array(STEPS + 1))
-  const steps = items.map((item) => Math.max(1, Math.ceil(item.size * STEPS / capacity)))
+  const bestValue = new Float64Array(CAPACITY_STEPS + 1)
+  const isTaken = items.map(() => new Uint8Array(CAPACITY_STEPS + 1))
+  const sizeInSteps = items.map((item) => Math.max(1, Math.ceil(item.size * CAPACITY_STEPS / capacity)))
   items.forEach((item, i) => {
-    for (let room = STEPS; room >= steps[i]!; room--) {
-      const withItem = best[room - steps[i]!]! + item.value
-      if (withItem <= best[room]!) continue
-      best[room] = withItem
-      taken[i]![room] = 1
+    for (let capacityStep = CAPACITY_STEPS; capacityStep >= sizeInSteps[i]!; capacityStep--) {
+      const valueWithItem = bestValue[capacityStep - sizeInSteps[i]!]! + item.value
+      if (valueWithItem <= bestValue[capacityStep]!) continue
+      bestValue[capacityStep] = valueWithItem
+      isTaken[i]![capacityStep] = 1
     }
   })
-  return chosen(taken, steps)
+  return backtrack(isTaken, sizeInSteps)
 }
 
-function chosen (taken: readonly Uint8Array[], steps: readonly number[]): number[] {
-  const picks: number[] = []
-  let room = STEPS
-  for (let i = taken.length - 1; i >= 0; i--) {
-    if (!taken[i]![room]) continue
-    picks.push(i)
-    room -= steps[i]!
+function backtrack (isTaken: readonly Uint8Array[], sizeInSteps: readonly number[]): number[] {
+  const selected: number[] = []
+  let remainingSteps = CAPACITY_STEPS
+  for (let i = isTaken.length - 1; i >= 0; i--) {
+    if (!isTaken[i]![remainingSteps]) continue
+    selected.push(i)
+    remainingSteps -= sizeInSteps[i]!
   }
-  return picks
+  return selected
 }
--- a/core/reclaim/baselines.ts
+++ b/core/reclaim/baselines.ts
@@ -1,49 +1,49 @@
-/** Planners to measure against: restart, prefill only, and the optimum of small problems. */
+/** Reference planners for benchmarks and tests: restart, prefill only, and exhaustive search for small problems. */
 import { canFinish, evaluate, type Directive, type ReclaimPlanner, type ReclaimProblem, type Target, type ThreatenedStream } from './problem.ts'
 
-/** Sends every stream to the least loaded target; the caller of the planner starts it again from nothing. */
+/** Sends every stream to the target with the most free slots, where the caller of the planner restarts it from scratch. */
 export class RestartPlanner implements ReclaimPlanner {
   plan (problem: ReclaimProblem): Directive[] {
-    const room = new Map([...problem.targets.values()].map((target) => [target, target.freeSlots]))
+    const freeSlots = new Map([...problem.targets.values()].map((target) => [target, target.freeSlots]))
     return problem.streams.map((stream) => {
       if (!stream.movable) return { stream: stream.id, action: 'finish' }
-      const target = mostRoom(room)
+      const target = targetWithMostFreeSlots(freeSlots)
       if (!target) return { stream: stream.id, action: 'hold' }
-      room.set(target, room.get(target)! - 1)
+      freeSlots.set(target, freeSlots.get(target)! - 1)
       return { stream: stream.id, action: 'prefill', target: target.id }
     })
   }
 }
 
-/** Tokens that restarting a plan's streams computes again: whatever ran before, prompt and answer. */
+/** Returns the number of tokens recomputed when the streams are restarted: prompt and generated tokens. */
 export function restartedTokens (streams: readonly ThreatenedStream[]): number {
   return streams.reduce((sum, stream) => sum + (stream.movable ? stream.kvTokens : 0), 0)
 }
 
-/** Finishes what can finish and resumes everything else by prefill where the prefix is cached, then where there is most room. */
+/** Lets streams finish that can and resumes the others by prefill: where the prefix is cached, otherwise at the target with the most free slots. */
 export class PrefillPlanner implements ReclaimPlanner {
   plan (problem: ReclaimProblem): Directive[] {
-    const room = new Map([...problem.targets.values()].map((target) => [target, target.freeSlots]))
+    const freeSlots = new Map([...problem.targets.values()].map((target) => [target, target.freeSlots]))
     return problem.streams.map((stream) => {
       if (canFinish(stream, problem.sources.get(stream.source)!)) return { stream: stream.id, action: 'finish' }
-      const cached = [...room].filter(([target, slots]) => slots > 0 && stream.cachedTokens.has(target.id)).map(([target]) => target)
-      const target = cached[0] ?? mostRoom(room)
+      const cached = [...freeSlots].filter(([target, slots]) => slots > 0 && stream.cachedTokens.has(target.id)).map(([target]) => target)
+      const target = cached[0] ?? targetWithMostFreeSlots(freeSlots)
       if (!target) return { stream: stream.id, action: 'hold' }
-      room.set(target, room.get(target)! - 1)
+      freeSlots.set(target, freeSlots.get(target)! - 1)
       return { stream: stream.id, action: 'prefill', target: target.id }
     })
   }
 }
 
-function mostRoom (room: ReadonlyMap<Target, number>): Target | undefined {
+function targetWithMostFreeSlots (freeSlots: ReadonlyMap<Target, number>): Target | undefined {
   let best: Target | undefined
-  for (const [target, slots] of room) {
-    if (slots > 0 && (!best || slots > room.get(best)!)) best = target
+  for (const [target, slots] of freeSlots) {
+    if (slots > 0 && (!best || slots > freeSlots.get(best)!)) best = target
   }
   return best
 }
 
-/** Tries every plan; for up to about six streams and three targets. */
+/** Evaluates every possible plan. Practical for up to about six streams and three targets. */
 export class BruteForcePlanner implements ReclaimPlanner {
   plan (problem: ReclaimProblem): Directive[] {
     let best: Directive[] = []
@@ -58,14 +58,14 @@
         }
         return
       }
-      for (const directive of choices(stream, problem)) extend([...plan, directive])
+      for (const directive of possibleDirectives(stream, problem)) extend([...plan, directive])
     }
     extend([])
     return best
   }
 }
 
-function choices (stream: ThreatenedStream, problem: ReclaimProblem): Directive[] {
+function possibleDirectives (stream: ThreatenedStream, problem: ReclaimProblem): Directive[] {
   if (canFinish(stream, problem.sources.get(stream.source)!)) return [{ stream: stream.id, action: 'finish' }]
   const moves = [...problem.targets.keys()].flatMap((target): Directive[] => [
     { stream: stream.id, action: 'import', target },
--- a/core/reclaim/joint_planner.ts
+++ b/core/reclaim/joint_planner.ts
@@ -1,134 +1,139 @@
-/** The planner in use: decides for all threatened streams at once. */
+/** The default planner: decides for all streams on reclaimed endpoints together. */
 import type { EndpointId } from '../ids/index.ts'
-import { improve, type Placed } from './_improve.ts'
+import { improvePlan, type Placement } from './_improve.ts'
 import { knapsack } from './_knapsack.ts'
-import { Rooms } from './_rooms.ts'
+import { CapacityTracker } from './_rooms.ts'
 import {
-  canFinish, directivePrice, exportBudgetMs, exportMs, usableMs,
+  canFinish, directivePrice, exportBudgetMs, exportMs, usableNoticeMs,
   type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type ThreatenedStream
 } from './problem.ts'
 
 /** Options of {@linkcode JointPlanner}. */
 export interface JointPlannerOptions {
-  /** Prices that the local search looks at for one plan; bounds its time. Default 40,000. */
-  looks?: number
+  /** Maximum number of prices the local search computes for one plan, which bounds its running time. Default 40,000. */
+  maxEvaluations?: number
 }
 
-interface Move { stream: ThreatenedStream, saved: number }
+/** A stream whose KV cache is cheaper to move than to recompute, and the money that this saves. */
+interface ExportCandidate { stream: ThreatenedStream, savings: number }
 
-/** Targets looked at for one stream in the first pass. */
-const TARGETS_PER_STREAM = 12
-const DEFAULT_LOOKS = 40_000
-/** Above this many streams the first pass is left as it is: one daemon never has so many. */
-const STREAMS_TO_IMPROVE = 400
+/** Targets with enough capacity that the greedy pass compares for one stream. */
+const MAX_TARGETS_PER_STREAM = 12
+const DEFAULT_MAX_EVALUATIONS = 40_000
+/** Larger plans skip the local search; a single daemon never has this many streams. */
+const MAX_STREAMS_TO_IMPROVE = 400
 
 /**
- * Finishes what can finish, then spends each source's export seconds on the streams whose KV cache is worth most, then resumes the
- * rest where their prefix is cached or the run is cheapest, and holds what fits nowhere; a local search then exchanges places.
+ * Lets streams finish that can, exports the streams whose KV cache saves the most within each source's export bandwidth, resumes the rest by
+ * prefill where their prefix is cached or running is cheapest, and holds streams that fit nowhere. A local search then improves the plan.
  *
- * The exports of a source are chosen by a knapsack over the notice; targets are filled from the most valuable move down, so that a
- * domain's loss does not spend the scarce import room on small streams.
+ * A knapsack over the notice period selects the exports of each source. Targets are filled in descending order of savings, so that after the
+ * loss of a failure domain scarce import bandwidth is not spent on small streams.
  */
 export class JointPlanner implements ReclaimPlanner {
-  readonly #looks: number
+  readonly #maxEvaluations: number
 
   constructor (options: JointPlannerOptions = {}) {
-    this.#looks = options.looks ?? DEFAULT_LOOKS
+    this.#maxEvaluations = options.maxEvaluations ?? DEFAULT_MAX_EVALUATIONS
   }
 
   plan (problem: ReclaimProblem): Directive[] {
-    const rooms = new Rooms(problem)
+    const capacity = new CapacityTracker(problem)
     const finishing = problem.streams.filter((stream) => canFinish(stream, problem.sources.get(stream.source)!))
     const unplaced = new Set(problem.streams)
     for (const stream of finishing) unplaced.delete(stream)
-    const open = [...problem.targets.values()].filter((target) => target.freeSlots > 0).sort((a, b) => a.pricePerHour - b.pricePerHour)
-    const placed: Placed[] = []
-    for (const stream of exportsWorthMost(unplaced, open, problem)) {
-      const import_ = firstPlace(stream, 'import', open, rooms, problem)
-      if (!import_) continue
+    const targets = [...problem.targets.values()].filter((target) => target.freeSlots > 0).sort((a, b) => a.pricePerHour - b.pricePerHour)
+    const placements: Placement[] = []
+    for (const stream of selectExports(unplaced, targets, problem)) {
+      const placement = placeGreedily(stream, 'import', targets, capacity, problem)
+      if (!placement) continue
       unplaced.delete(stream)
-      placed.push(import_)
+      placements.push(placement)
     }
-    for (const stream of byDeadline(unplaced)) placed.push(firstPlace(stream, 'prefill', open, rooms, problem) ?? held(stream, problem))
-    if (placed.length <= STREAMS_TO_IMPROVE) improve(placed, rooms, problem, this.#looks)
-    return [...finishing.map((stream): Directive => ({ stream: stream.id, action: 'finish' })), ...placed.map(({ directive }) => directive)]
+    for (const stream of sortByDeadline(unplaced)) placements.push(placeGreedily(stream, 'prefill', targets, capacity, problem) ?? holdPlacement(stream, problem))
+    if (placements.length <= MAX_STREAMS_TO_IMPROVE) improvePlan(placements, capacity, problem, this.#maxEvaluations)
+    return [...finishing.map((stream): Directive => ({ stream: stream.id, action: 'finish' })), ...placements.map(({ directive }) => directive)]
   }
 }
 
-/** The streams to export, most valuable first. */
-function exportsWorthMost (streams: Iterable<ThreatenedStream>, open: readonly Target[], problem: ReclaimProblem): ThreatenedStream[] {
-  const bySource = new Map<EndpointId, Move[]>()
+/** Selects the streams to export, in descending order of savings. */
+function selectExports (streams: Iterable<ThreatenedStream>, targets: readonly Target[], problem: ReclaimProblem): ThreatenedStream[] {
+  const candidatesBySource = new Map<EndpointId, ExportCandidate[]>()
   for (const stream of streams) {
-    const moves = bySource.get(stream.source) ?? []
-    const saved = savedByExport(stream, open, problem)
-    if (saved > 0) moves.push({ stream, saved })
-    bySource.set(stream.source, moves)
+    const candidates = candidatesBySource.get(stream.source) ?? []
+    const savings = exportSavings(stream, targets, problem)
+    if (savings > 0) candidates.push({ stream, savings })
+    candidatesBySource.set(stream.source, candidates)
   }
-  const chosen: Move[] = []
-  for (const [id, moves] of bySource) chosen.push(...withinShare(moves, problem.sources.get(id)!))
-  return chosen.sort((a, b) => b.saved - a.saved).map(({ stream }) => stream)
+  const chosen: ExportCandidate[] = []
+  for (const [id, candidates] of candidatesBySource) chosen.push(...selectWithinShare(candidates, problem.sources.get(id)!))
+  return chosen.sort((a, b) => b.savings - a.savings).map(({ stream }) => stream)
 }
 
 /**
- * A knapsack over this daemon's share of the source, then one stream more with the chance that the rest of the share is of its size.
+ * Fills this daemon's share of a source's export bandwidth by a knapsack, then rounds randomly: one more stream is exported with a probability
+ * equal to the unused part of the share divided by the time that stream needs.
  *
- * Many daemons with one stream each on a source have shares that no stream fits into; without the rounding they would all give up and
- * the bandwidth would go unused. With it, they use all of it on average.
+ * When many daemons have one stream each on a source, no stream fits into any share. Without the rounding none would export and the bandwidth
+ * would stay unused; with it the daemons use all of it on average.
  */
-function withinShare (moves: readonly Move[], source: Source): Move[] {
-  const budget = exportBudgetMs(source)
-  const chosen = knapsack(moves.map(({ stream, saved }) => ({ size: exportMs(stream, source), value: saved })), budget).map((i) => moves[i]!)
+function selectWithinShare (candidates: readonly ExportCandidate[], source: Source): ExportCandidate[] {
+  const budgetMs = exportBudgetMs(source)
+  const chosen = knapsack(candidates.map(({ stream, savings }) => ({ size: exportMs(stream, source), value: savings })), budgetMs).map((i) => candidates[i]!)
   if (source.share >= 1) return chosen
-  const rest = budget - chosen.reduce((sum, { stream }) => sum + exportMs(stream, source), 0)
-  const next = moves.filter((move) => !chosen.includes(move)).sort((a, b) => b.saved - a.saved)[0]
+  const unusedMs = budgetMs - chosen.reduce((sum, { stream }) => sum + exportMs(stream, source), 0)
+  const next = candidates.filter((candidate) => !chosen.includes(candidate)).sort((a, b) => b.savings - a.savings)[0]
   if (!next) return chosen
-  const size = exportMs(next.stream, source)
-  return size <= usableMs(source) && source.luck < rest / size ? [...chosen, next] : chosen
+  const neededMs = exportMs(next.stream, source)
+  return neededMs <= usableNoticeMs(source) && source.luck < unusedMs / neededMs ? [...chosen, next] : chosen
 }
 
-/** Money saved by moving the KV cache instead of the cheapest prefill. */
-function savedByExport (stream: ThreatenedStream, open: readonly Target[], problem: ReclaimProblem): number {
-  const cheapest = open[0]
+/** Money saved by moving the KV cache compared with the cheapest prefill. */
+function exportSavings (stream: ThreatenedStream, targets: readonly Target[], problem: ReclaimProblem): number {
+  const cheapest = targets[0]
   if (!cheapest) return 0
-  const imported = directivePrice(stream, { stream: stream.id, action: 'import', target: cheapest.id }, problem)
-  let prefill = directivePrice(stream, { stream: stream.id, action: 'prefill', target: cheapest.id }, problem)
+  const importPrice = directivePrice(stream, { stream: stream.id, action: 'import', target: cheapest.id }, problem)
+  let prefillPrice = directivePrice(stream, { stream: stream.id, action: 'prefill', target: cheapest.id }, problem)
   for (const id of stream.cachedTokens.keys()) {
-    if ((problem.targets.get(id)?.freeSlots ?? 0) > 0) prefill = Math.min(prefill, directivePrice(stream, { stream: stream.id, action: 'prefill', target: id }, problem))
+    if ((problem.targets.get(id)?.freeSlots ?? 0) > 0) prefillPrice = Math.min(prefillPrice, directivePrice(stream, { stream: stream.id, action: 'prefill', target: id }, problem))
   }
-  return prefill - imported
+  return prefillPrice - importPrice
 }
 
-/** The cheapest of the first targets with room, those that hold some of the prompt included; among equals the least busy. */
-function firstPlace (stream: ThreatenedStream, action: 'import' | 'prefill', open: readonly Target[], rooms: Rooms, problem: ReclaimProblem): Placed | undefined {
-  const budget = action === 'import' ? usableMs : exportBudgetMs
-  let best: Placed | undefined
-  let bestBusy = 0
+/**
+ * Places a stream on the cheapest of the first {@linkcode MAX_TARGETS_PER_STREAM} targets with enough capacity. A prefill also considers all targets that
+ * cache part of the prompt. Among equal prices the target with the fewest assigned streams is chosen.
+ */
+function placeGreedily (stream: ThreatenedStream, action: 'import' | 'prefill', targets: readonly Target[], capacity: CapacityTracker, problem: ReclaimProblem): Placement | undefined {
+  const exportBudgetOf = action === 'import' ? usableNoticeMs : exportBudgetMs
+  let best: Placement | undefined
+  let bestAssignedStreams = 0
   const consider = (target: EndpointId): boolean => {
     const directive: Directive = { stream: stream.id, action, target }
-    if (!rooms.fits(stream, directive, budget)) return false
+    if (!capacity.fits(stream, directive, exportBudgetOf)) return false
     const price = directivePrice(stream, directive, problem)
-    const busy = rooms.busy(target)
-    if (best && (price > best.price || (price === best.price && busy >= bestBusy))) return true
+    const assignedStreams = capacity.assignedStreams(target)
+    if (best && (price > best.price || (price === best.price && assignedStreams >= bestAssignedStreams))) return true
     best = { stream, directive, price }
-    bestBusy = busy
+    bestAssignedStreams = assignedStreams
     return true
   }
   if (action === 'prefill') {
     for (const id of stream.cachedTokens.keys()) if (problem.targets.has(id)) consider(id)
   }
-  let seen = 0
-  for (const target of open) {
-    if (consider(target.id) && ++seen >= TARGETS_PER_STREAM) break
+  let considered = 0
+  for (const target of targets) {
+    if (consider(target.id) && ++considered >= MAX_TARGETS_PER_STREAM) break
   }
-  if (best) rooms.add(stream, best.directive)
+  if (best) capacity.add(stream, best.directive)
   return best
 }
 
-function held (stream: ThreatenedStream, problem: ReclaimProblem): Placed {
+function holdPlacement (stream: ThreatenedStream, problem: ReclaimProblem): Placement {
   const directive: Directive = { stream: stream.id, action: 'hold' }
   return { stream, directive, price: directivePrice(stream, directive, problem) }
 }
 
-function byDeadline (streams: Iterable<ThreatenedStream>): ThreatenedStream[] {
+function sortByDeadline (streams: Iterable<ThreatenedStream>): ThreatenedStream[] {
   return [...streams].sort((a, b) => a.deadlineInMs - b.deadlineInMs)
 }
--- a/core/reclaim/problem.ts
+++ b/core/reclaim/problem.ts
@@ -1,43 +1,44 @@
-/** The reclaim decision as data: what runs where, what is scarce, and what a plan costs. */
+/** Data model of the reclaim decision: affected streams, limited capacities, and the price of a plan. */
 import type { EndpointId, RequestId } from '../ids/index.ts'
 
-/** A stream on an endpoint that is being reclaimed. */
+/** A running stream on an endpoint that is being reclaimed. */
 export interface ThreatenedStream {
   id: RequestId
   source: EndpointId
-  /** Prompt tokens plus tokens generated so far: the size of its KV cache. */
+  /** Prompt tokens plus generated tokens, which is the size of its KV cache. */
   kvTokens: number
-  /** Tokens still to come, estimated from the request's limit. */
+  /** Tokens still to be generated, estimated from the request's token limit. */
   remainingTokens: number
   /** Milliseconds until the request's deadline. */
   deadlineInMs: number
-  /** False for a plain-service call: it is never moved. */
+  /** False for a plain-service call, which is never moved. */
   movable: boolean
-  /** Tokens of its prompt that a target's prefix cache holds. */
+  /** Prompt tokens in each target's prefix cache. */
   cachedTokens: ReadonlyMap<EndpointId, number>
 }
 
-/** An endpoint that is going. */
+/** An endpoint that is being reclaimed. */
 export interface Source {
   id: EndpointId
-  /** Milliseconds until the host is gone. */
+  /** Milliseconds until the host is taken away. */
   noticeMs: number
-  /** The endpoint's whole KV export bandwidth, in tokens a second. */
+  /** Total KV export bandwidth of the endpoint, in tokens per second. */
   exportTokensPerS: number
-  /** Part of that bandwidth this daemon plans with, by its part of the streams there; 1 when it plans for all. */
+  /** Fraction of that bandwidth available to this daemon: its fraction of the endpoint's streams, or 1 when it plans for all of them. */
   share: number
-  /** A random number in [0, 1), drawn once for each plan: rounds a share that no stream fits into. */
+  /** Random number in [0, 1), drawn once per plan. Decides whether a stream that exceeds the share is exported. */
   luck: number
+  /** Milliseconds between tokens at the current load. */
   betweenTokensMs: number
 }
 
-/** An endpoint that stays. */
+/** An endpoint that keeps running and can take over streams. */
 export interface Target {
   id: EndpointId
   freeSlots: number
   freeKvTokens: number
   importTokensPerS: number
-  /** Part of that bandwidth this daemon plans with; unless it is 0, one import always fits. 1 when it plans for all. */
+  /** Fraction of that bandwidth available to this daemon, or 1 when it plans for all daemons. Unless it is 0, one import always fits. */
   importShare: number
   prefillTokensPerS: number
   betweenTokensMs: number
@@ -45,15 +46,15 @@
   pricePerHour: number
 }
 
-/** What the deployment pays for, in money. Derived, never set by an operator. */
+/** Prices of unwanted outcomes, in money. They are derived, not configured by an operator. */
 export interface ReclaimWeights {
   /** Price of one recomputed token. */
   recomputedToken: number
   /** Price of one request that misses its deadline. */
-  late: number
+  missedDeadline: number
 }
 
-/** Everything a plan is made from. */
+/** Input of a planner. */
 export interface ReclaimProblem {
   streams: readonly ThreatenedStream[]
   sources: ReadonlyMap<EndpointId, Source>
@@ -61,114 +62,114 @@
   weights: ReclaimWeights
 }
 
-/** What becomes of one stream. */
+/** What to do with one stream. */
 export type Directive =
   | { stream: RequestId, action: 'finish' }
   | { stream: RequestId, action: 'import', target: EndpointId }
   | { stream: RequestId, action: 'prefill', target: EndpointId }
   | { stream: RequestId, action: 'hold' }
 
-/** Makes a plan for all threatened streams at once. */
+/** Plans for all affected streams at once. */
 export interface ReclaimPlanner {
   plan (problem: ReclaimProblem): Directive[]
 }
 
-/** Part of the notice kept back for messages to arrive and orders to be confirmed, in milliseconds. */
+/** Part of the notice reserved for messages to arrive and orders to be confirmed, in milliseconds. */
 export const NOTICE_MARGIN_MS = 300
-/** Expected wait of a held stream for room elsewhere, in milliseconds. */
-export const HOLD_MS = 2000
+/** Expected time until a held stream finds capacity elsewhere, in milliseconds. */
+export const EXPECTED_HOLD_MS = 2000
 
 const MS_PER_HOUR = 3_600_000
 
-/** Milliseconds of the notice that a plan may use. */
-export function usableMs (source: Source): number {
+/** Returns the milliseconds of the notice that a plan may use. */
+export function usableNoticeMs (source: Source): number {
   return Math.max(0, source.noticeMs - NOTICE_MARGIN_MS)
 }
 
-/** True when the stream ends on its source before the host is gone. */
+/** Returns whether the stream can stay on its source: it is not movable, or it ends within the usable notice. */
 export function canFinish (stream: ThreatenedStream, source: Source): boolean {
-  return !stream.movable || stream.remainingTokens * source.betweenTokensMs <= usableMs(source)
+  return !stream.movable || stream.remainingTokens * source.betweenTokensMs <= usableNoticeMs(source)
 }
 
-/** Milliseconds of the source's export bandwidth that this daemon plans with. */
+/** Returns this daemon's share of the source's export time, in milliseconds. */
 export function exportBudgetMs (source: Source): number {
-  return usableMs(source) * source.share
+  return usableNoticeMs(source) * source.share
 }
 
-/** Milliseconds of the source's export bandwidth that moving the stream's KV cache takes. */
+/** Returns how long the source takes to export the stream's KV cache, in milliseconds. */
 export function exportMs (stream: ThreatenedStream, source: Source): number {
   return stream.kvTokens * 1000 / source.exportTokensPerS
 }
 
-/** Tokens that a prefill on the target computes again. */
+/** Returns the number of tokens that a prefill on the target recomputes. */
 export function prefillTokens (stream: ThreatenedStream, target: Target): number {
   return Math.max(0, stream.kvTokens - (stream.cachedTokens.get(target.id) ?? 0))
 }
 
-/** Money for the rest of the stream on the target. */
+/** Returns the price of running the rest of the stream on the target. */
 export function runPrice (stream: ThreatenedStream, target: Target): number {
   const ms = stream.remainingTokens * target.betweenTokensMs
   return target.pricePerHour * ms / MS_PER_HOUR / target.batchSlots
 }
 
-/** Money for one way of carrying a stream on, all of it. */
+/** Returns the total price of a directive: recomputation, the rest of the run, and the penalty for a missed deadline. */
 export function directivePrice (stream: ThreatenedStream, directive: Directive, problem: ReclaimProblem): number {
   if (directive.action === 'finish') return 0
   if (directive.action === 'hold') return holdPrice(stream, problem)
   const target = problem.targets.get(directive.target)!
-  const redone = directive.action === 'prefill' ? prefillTokens(stream, target) : 0
-  const delayMs = redone * 1000 / target.prefillTokensPerS + stream.remainingTokens * target.betweenTokensMs
-  return redone * problem.weights.recomputedToken + runPrice(stream, target) + latePrice(stream, delayMs, problem)
+  const recomputedTokens = directive.action === 'prefill' ? prefillTokens(stream, target) : 0
+  const delayMs = recomputedTokens * 1000 / target.prefillTokensPerS + stream.remainingTokens * target.betweenTokensMs
+  return recomputedTokens * problem.weights.recomputedToken + runPrice(stream, target) + missedDeadlinePrice(stream, delayMs, problem)
 }
 
-/** Holding is a later prefill elsewhere, on the worst target: room is scarce by then. */
+/** Prices holding as a later prefill on the worst target, because capacity is expected to be scarce by then. */
 function holdPrice (stream: ThreatenedStream, problem: ReclaimProblem): number {
   const worst = worstTarget(problem.targets)
-  const delayMs = HOLD_MS + stream.kvTokens * worst.prefillMsPerToken + stream.remainingTokens * worst.betweenTokensMs
-  return stream.kvTokens * problem.weights.recomputedToken + stream.remainingTokens * worst.pricePerToken + latePrice(stream, delayMs, problem)
+  const delayMs = EXPECTED_HOLD_MS + stream.kvTokens * worst.prefillMsPerToken + stream.remainingTokens * worst.betweenTokensMs
+  return stream.kvTokens * problem.weights.recomputedToken + stream.remainingTokens * worst.pricePerToken + missedDeadlinePrice(stream, delayMs, problem)
 }
 
 interface WorstTarget { pricePerToken: number, prefillMsPerToken: number, betweenTokensMs: number }
 
-/** Asked for once for each alternative of a search, so it is worked out once for each set of targets. */
+/** Cached for each set of targets, because a search needs the value for every alternative. */
 const worstTargets = new WeakMap<ReclaimProblem['targets'], WorstTarget>()
 
 function worstTarget (targets: ReclaimProblem['targets']): WorstTarget {
   let worst = worstTargets.get(targets)
   if (!worst) {
-    const all = [...targets.values()]
+    const candidates = [...targets.values()]
     worst = {
-      pricePerToken: Math.max(0, ...all.map((target) => target.pricePerHour * target.betweenTokensMs / MS_PER_HOUR / target.batchSlots)),
-      prefillMsPerToken: Math.max(0, ...all.map((target) => 1000 / target.prefillTokensPerS)),
-      betweenTokensMs: Math.max(0, ...all.map((target) => target.betweenTokensMs))
+      pricePerToken: Math.max(0, ...candidates.map((target) => target.pricePerHour * target.betweenTokensMs / MS_PER_HOUR / target.batchSlots)),
+      prefillMsPerToken: Math.max(0, ...candidates.map((target) => 1000 / target.prefillTokensPerS)),
+      betweenTokensMs: Math.max(0, ...candidates.map((target) => target.betweenTokensMs))
     }
     worstTargets.set(targets, worst)
   }
   return worst
 }
 
-function latePrice (stream: ThreatenedStream, delayMs: number, problem: ReclaimProblem): number {
-  return delayMs > stream.deadlineInMs ? problem.weights.late : 0
+function missedDeadlinePrice (stream: ThreatenedStream, delayMs: number, problem: ReclaimProblem): number {
+  return delayMs > stream.deadlineInMs ? problem.weights.missedDeadline : 0
 }
 
 /** Totals of a plan. */
 export interface PlanTotals { price: number, recomputedTokens: number, held: number, late: number, feasible: boolean }
 
-/** Adds up a plan and checks it against export, import, slot and memory limits, apart from any planner. */
+/** Computes the totals of a plan and checks it against export, import, slot and memory limits, independently of the planner that made it. */
 export function evaluate (plan: readonly Directive[], problem: ReclaimProblem): PlanTotals {
   const streams = new Map(problem.streams.map((stream) => [stream.id, stream]))
-  const used = new Map<EndpointId, { slots: number, kv: number, exportMs: number, importMs: number }>()
-  const use = (id: EndpointId) => used.get(id) ?? used.set(id, { slots: 0, kv: 0, exportMs: 0, importMs: 0 }).get(id)!
+  const usageById = new Map<EndpointId, { slots: number, kvTokens: number, exportMs: number, importMs: number }>()
+  const usageOf = (id: EndpointId) => usageById.get(id) ?? usageById.set(id, { slots: 0, kvTokens: 0, exportMs: 0, importMs: 0 }).get(id)!
   const totals: PlanTotals = { price: 0, recomputedTokens: 0, held: 0, late: 0, feasible: plan.length === problem.streams.length }
-  // Imports of one target run one after another, those of the shortest notice first.
-  const notice = (directive: Directive) => usableMs(problem.sources.get(streams.get(directive.stream)!.source)!)
-  const ordered = [...plan].sort((a, b) => notice(a) - notice(b))
+  // A target runs its imports one after another, in order of increasing notice.
+  const noticeOf = (directive: Directive) => usableNoticeMs(problem.sources.get(streams.get(directive.stream)!.source)!)
+  const ordered = [...plan].sort((a, b) => noticeOf(a) - noticeOf(b))
   for (const directive of ordered) {
     const stream = streams.get(directive.stream)!
     const source = problem.sources.get(stream.source)!
     const price = directivePrice(stream, directive, problem)
     totals.price += price
-    if (price >= problem.weights.late) totals.late++
+    if (price >= problem.weights.missedDeadline) totals.late++
     if (directive.action === 'finish') {
       totals.feasible &&= canFinish(stream, source)
       continue
@@ -180,18 +181,18 @@
       continue
     }
     const target = problem.targets.get(directive.target)!
-    const room = use(target.id)
-    room.slots++
-    room.kv += stream.kvTokens + stream.remainingTokens
+    const targetUsage = usageOf(target.id)
+    targetUsage.slots++
+    targetUsage.kvTokens += stream.kvTokens + stream.remainingTokens
     if (directive.action === 'prefill') {
       totals.recomputedTokens += prefillTokens(stream, target)
     } else {
-      const from = use(source.id)
-      from.exportMs += exportMs(stream, source)
-      room.importMs += stream.kvTokens * 1000 / target.importTokensPerS
-      totals.feasible &&= from.exportMs <= usableMs(source) && room.importMs <= usableMs(source)
+      const sourceUsage = usageOf(source.id)
+      sourceUsage.exportMs += exportMs(stream, source)
+      targetUsage.importMs += stream.kvTokens * 1000 / target.importTokensPerS
+      totals.feasible &&= sourceUsage.exportMs <= usableNoticeMs(source) && targetUsage.importMs <= usableNoticeMs(source)
     }
-    totals.feasible &&= room.slots <= target.freeSlots && room.kv <= target.freeKvTokens
+    totals.feasible &&= targetUsage.slots <= target.freeSlots && targetUsage.kvTokens <= target.freeKvTokens
   }
   return totals
 }
--- a/core/reclaim/reclaim_test.ts
+++ b/core/reclaim/reclaim_test.ts
@@ -43,26 +43,26 @@
 
 const actions = (plan: readonly Directive[]) => Object.fromEntries(plan.map((directive) => [directive.stream, directive.action]))
 
-test('what ends before the notice stays, what fits the export moves, the rest resumes', () => {
+test('streams that end in time finish, those within the export bandwidth are imported, the rest resume by prefill', () => {
   const streams = [stream('short', { remainingTokens: 100 }), stream('large', { kvTokens: 1500 }), stream('small', { kvTokens: 800 }), stream('call', { movable: false })]
   const plan = new JointPlanner().plan(problemOf(streams, [source('s')], [target('t')]))
   expect(actions(plan)).toEqual({ short: 'finish', large: 'import', small: 'prefill', call: 'finish' })
 })
 
-test('a stream whose prefix is cached elsewhere leaves the export to one whose is not', () => {
+test('a stream with a cached prefix yields export bandwidth to one without', () => {
   const streams = [stream('cached', { kvTokens: 1600, cachedTokens: new Map([[id('t'), 1500]]) }), stream('bare', { kvTokens: 1500 })]
   const plan = new JointPlanner().plan(problemOf(streams, [source('s')], [target('t')]))
   expect(actions(plan)).toEqual({ cached: 'prefill', bare: 'import' })
 })
 
-test('with no room anywhere streams are held, none is dropped', () => {
+test('streams are held, not dropped, when no target has capacity', () => {
   const plan = new JointPlanner().plan(problemOf([stream('a'), stream('b')], [source('s')], [target('t', { freeSlots: 1 })]))
   expect(plan.map((directive) => directive.action).sort()).toEqual(['hold', 'import'])
 })
 
-test('daemons with one stream each use the export bandwidth they share', () => {
-  // Users see most streams recomputed in a wave although the source could export nearly all: forty daemons hold one stream each,
-  // no stream fits a fortieth of the bandwidth, and every daemon gives up. Rounding by luck uses the bandwidth on average.
+test('daemons with one stream each use all of the shared export bandwidth', () => {
+  // Guards against unused export bandwidth: with forty daemons that have one stream each, no stream fits into a fortieth of the bandwidth, so that
+  // without random rounding no daemon exports and most streams are recomputed.
   const daemons = 40
   let exportedMs = 0
   for (let daemon = 0; daemon < daemons; daemon++) {
@@ -73,7 +73,7 @@
   expect(exportedMs).toBe(20_000)
 })
 
-test('a daemon that plans without knowing of the others spreads its imports', () => {
+test('a daemon with a small import share spreads its imports over several targets', () => {
   const streams = ['a', 'b', 'c'].map((name) => stream(name, { kvTokens: 500 }))
   const targets = ['t', 'u', 'v'].map((name, i) => target(name, { importShare: 0.1, pricePerHour: 4 + i }))
   const plan = new JointPlanner().plan(problemOf(streams, [source('s')], targets))
@@ -98,7 +98,7 @@
   [target('t', t), target('u', u)]
 ))
 
-test('every plan names every stream once and keeps within export, import, slots and memory', () => {
+test('every plan contains each stream once and respects export, import, slot and memory limits', () => {
   fc.assert(fc.property(smallProblem, (problem) => {
     const plan = new JointPlanner().plan(problem)
     expect(new Set(plan.map((directive) => directive.stream)).size).toBe(problem.streams.length)
@@ -106,17 +106,17 @@
   }), { seed: SEED, numRuns: 300 })
 })
 
-test('against the naive planner and the optimum of small cases, all in all', () => {
-  const sums = { joint: 0, naive: 0, optimum: 0 }
+test('total price over small problems is below prefill only and within 10% of the optimum', () => {
+  const totals = { joint: 0, prefillOnly: 0, optimum: 0 }
   fc.assert(fc.property(smallProblem, (problem) => {
     const price = (plan: readonly Directive[]) => evaluate(plan, problem).price
     const optimum = price(new BruteForcePlanner().plan(problem))
     const joint = price(new JointPlanner().plan(problem))
-    sums.joint += joint
-    sums.optimum += optimum
-    sums.naive += price(new PrefillPlanner().plan(problem))
+    totals.joint += joint
+    totals.optimum += optimum
+    totals.prefillOnly += price(new PrefillPlanner().plan(problem))
     expect(joint).toBeGreaterThanOrEqual(optimum - 1e-9)
   }), { seed: SEED, numRuns: 200 })
-  expect(sums.joint).toBeLessThanOrEqual(sums.optimum * 1.1)
-  expect(sums.joint).toBeLessThan(sums.naive)
+  expect(totals.joint).toBeLessThanOrEqual(totals.optimum * 1.1)
+  expect(totals.joint).toBeLessThan(totals.prefillOnly)
 })
--- a/core/reclaim/weights.ts
+++ b/core/reclaim/weights.ts
@@ -1,22 +1,22 @@
-/** What a recomputed token and a late request are worth, derived from the deployment's wish and its prices. */
+/** Derives the prices of a recomputed token and of a missed deadline from the deployment's preference and host prices. */
 import type { Config } from '../config/index.ts'
 import type { ReclaimWeights, Target } from './problem.ts'
 
-/** Each recomputed token also delays work that waits behind it; see docs/design/reclaim.md. */
-const DELAY_FACTOR = { cost: 1, 'recomputed-work': 4 } as const
-/** A late request costs as much as recomputing this many tokens: more than the longest stream, so no saving is worth lateness. */
-const LATE_IN_TOKENS = 200_000
+/** A recomputed token also delays the requests queued behind it, which `recomputed-work` weighs in; see docs/design/reclaim.md. */
+const RECOMPUTATION_FACTOR = { cost: 1, 'recomputed-work': 4 } as const
+/** A missed deadline costs as much as recomputing this many tokens, more than the longest stream has, so no saving outweighs a missed deadline. */
+const MISSED_DEADLINE_TOKENS = 200_000
 const SECONDS_PER_HOUR = 3600
 const FALLBACK_PRICE_PER_TOKEN = 1e-7
 
 /**
- * Derives the weights of the reclaim planner.
- * @param wantsLeast The outcome the deployment wants least of.
- * @param targets Endpoints that stay; their price and prefill speed give the price of a token.
+ * Derives the weights for the reclaim planner.
+ * @param wantsLeast The outcome that the deployment wants to minimize.
+ * @param targets Endpoints that keep running. Their mean price per prefilled token is the base price of a recomputed token.
  */
 export function reclaimWeights (wantsLeast: Config['wantsLeast'], targets: Iterable<Target>): ReclaimWeights {
-  const prices = [...targets].map((target) => target.pricePerHour / SECONDS_PER_HOUR / target.prefillTokensPerS)
-  const mean = prices.length > 0 ? prices.reduce((sum, price) => sum + price, 0) / prices.length : FALLBACK_PRICE_PER_TOKEN
-  const recomputedToken = mean * DELAY_FACTOR[wantsLeast]
-  return { recomputedToken, late: recomputedToken * LATE_IN_TOKENS }
+  const tokenPrices = [...targets].map((target) => target.pricePerHour / SECONDS_PER_HOUR / target.prefillTokensPerS)
+  const meanTokenPrice = tokenPrices.length > 0 ? tokenPrices.reduce((sum, price) => sum + price, 0) / tokenPrices.length : FALLBACK_PRICE_PER_TOKEN
+  const recomputedToken = meanTokenPrice * RECOMPUTATION_FACTOR[wantsLeast]
+  return { recomputedToken, missedDeadline: recomputedToken * MISSED_DEADLINE_TOKENS }
 }
