--- a/core/routing/endpoint_view.ts
+++ b/core/routing/endpoint_view.ts
@@ -1,127 +1,128 @@
-/** What a daemon believes of an endpoint, from the host list, its own work in flight and what others tell of theirs. */
+/** A daemon's view of an endpoint, built from the host list, its own requests in flight and the load reported by other daemons. */
 import type { EndpointId, EndpointVersion, FailureDomain, HostId, PoolName } from '../ids/index.ts'
 import type { Pace } from './reading_pace.ts'
-import { slowdown, type StreamRhythm } from './stream_rhythm.ts'
+import { slowdownFactor, type StreamRhythm } from './stream_rhythm.ts'
 import { unreadBefore, type Lane, type WorkLoad } from './work_load.ts'
 
-/** Speeds and room of an endpoint, as its engine publishes them or as they were learnt. */
+/** Speed and capacity of an endpoint, as published by its engine or as learned. */
 export interface EndpointSpeed {
-  /** Requests worked on together. */
+  /** Requests that the engine runs in one batch. */
   batchSlots: number
   prefillTokensPerS: number
   /** Milliseconds between tokens with an empty batch. */
   betweenTokensMs: number
-  /** Milliseconds that each further stream adds between tokens. */
+  /** Milliseconds that each additional stream adds between tokens. */
   betweenTokensPerStreamMs: number
-  /** KV cache tokens the endpoint can export in a second, over all streams. */
+  /** KV cache tokens that the endpoint can export per second, over all streams. */
   exportTokensPerS: number
-  /** KV cache tokens it can import in a second. */
+  /** KV cache tokens that the endpoint can import per second. */
   importTokensPerS: number
 }
 
-/** Load as an endpoint reports it, the reader's own work included. */
+/** Load reported by an endpoint, including the work of the daemon that receives the report. */
 export interface EndpointLoad { running: number, queuedTokens: number, atMs: number }
 
-/** One endpoint as the daemon sees it. */
+/** State of one endpoint as known to this daemon. */
 export interface EndpointView {
-  /** Of one start of the endpoint. */
+  /** Identifies one start of the endpoint; a restart gets a new id. */
   id: EndpointId
-  /** What the platform calls the endpoint, at each start. Default: its id. */
+  /** Name of the endpoint on the platform, the same for every start. Default: its id. */
   name?: string
   hostId: HostId
   pool: PoolName
   failureDomain: FailureDomain
-  /** Version of its software, where the platform tells. */
+  /** Software version, if the platform publishes it. */
   version?: EndpointVersion
   address: string
-  /** Price of the host in the platform's currency per hour. */
+  /** Price of the host per hour, in the platform's currency. */
   pricePerHour: number
   reclaimable: boolean
   speed: EndpointSpeed
-  /** Milliseconds to the first token or the whole plain answer beside all waiting and reading, as a first estimate. */
+  /** Initial estimate of the time to the first token, or to the whole answer of a plain call, without queueing and prefill, in milliseconds. */
   firstMs: number
-  /** What first tokens of the pool's engines told. Default: its published speed. */
+  /** First-token latency model learned for the pool. Default: derived from the published speed. */
   pace?: Pace
-  /** How far apart pieces of its streams come. Default: nothing is known. */
+  /** Learned interval between chunks of the endpoint's streams. Default: unknown. */
   rhythm?: StreamRhythm
-  /** The same of its whole pool. */
+  /** Learned interval between chunks over the whole pool. Default: unknown. */
   poolRhythm?: StreamRhythm
-  /** How many times longer than predicted first tokens come, as learnt. */
+  /** Learned ratio of actual to predicted first-token latency. */
   slowness: number
-  /** Work of the other daemons, as last told. */
+  /** Work of the other daemons, as last reported. */
   others: WorkLoad
-  /** This daemon's own work, counted at once. */
+  /** Work of this daemon, updated immediately. */
   own: WorkLoad
-  /** Set from the first signal that the endpoint is going: notice, list, or its own refusal. */
+  /** When the first signal arrived that the endpoint is leaving, whether a notice, the host list, a peer or a refusal by the endpoint; undefined before. */
   leavingAtMs: number | undefined
-  /** Not picked before this time, after failures. */
+  /** Not selected before this time, because of failures. */
   ejectedUntilMs: number
-  /** When it was first listed, in milliseconds on the daemon's clock. Default: long ago. */
+  /** When the endpoint was first listed, in milliseconds on the daemon's clock. Default: long ago. */
   listedAtMs?: number
-  /** When it gave its last word, in milliseconds on the daemon's clock. Default: never. */
+  /** When the endpoint last sent anything, in milliseconds on the daemon's clock. Default: never. */
   heardAtMs?: number
 }
 
-/** Requests the endpoint runs now, as far as is known. */
+/** Returns the number of requests known to be running at the endpoint. */
 export function runningNow (view: EndpointView): number {
   return view.others.running + view.own.running
 }
 
-/** Work of others shows this long after an endpoint was listed, in milliseconds: twice the time between two reports. */
-const UNSEEN_MS = 250
+/** Time after an endpoint is listed until load reports cover the work of other daemons, in milliseconds: about two report intervals. */
+const UNREPORTED_MS = 250
 
 /**
- * What the other daemons send to an endpoint that was just listed, in times of what this one does.
+ * Returns the number of other daemons whose work at a newly listed endpoint is not reported yet. Each is assumed to send as much as this daemon.
  *
- * Load pattern: after a reclaim each daemon has work that waits, and all see the same empty endpoint within a tenth of a second. Each sends it as much as
- * one endpoint bears, and it is seconds behind before the first report.
+ * After a reclaim every daemon has queued work, and all of them see the same empty endpoint within 100 ms. If each sent it as much as one endpoint can
+ * handle, it would be seconds behind before the first report.
  */
-function unseenOthers (view: EndpointView, { now, sharers }: Sight): number {
-  return view.listedAtMs !== undefined && now - view.listedAtMs < UNSEEN_MS ? Math.max(0, sharers - 1) : 0
+function unreportedDaemons (view: EndpointView, { now, sharers }: PredictionContext): number {
+  return view.listedAtMs !== undefined && now - view.listedAtMs < UNREPORTED_MS ? Math.max(0, sharers - 1) : 0
 }
 
-/** When an endpoint is looked at, and how many daemons use it. */
-export interface Sight { now: number, sharers: number }
+/** Current time and number of daemons that use an endpoint. */
+export interface PredictionContext { now: number, sharers: number }
 
-/** Prompt tokens that the endpoint reads before those of a new request in a lane, as far as is known. */
+/** Returns the number of prompt tokens known to be prefilled before those of a new request in a lane. */
 export function unreadNow (view: EndpointView, lane: Lane): number {
   return unreadBefore(view.others, lane) + unreadBefore(view.own, lane)
 }
 
 /**
  * Predicts the time to the first token, or to the answer of a plain call, in milliseconds.
- * @param uncachedTokens Prompt tokens that the endpoint's prefix cache does not hold.
+ * @param uncachedTokens Prompt tokens that are not in the endpoint's prefix cache.
+ * @param context Without it, unreported work and current slowdown are ignored.
  */
-export function predictFirstTokenMs (view: EndpointView, uncachedTokens: number, lane: Lane = 'late', sight?: Sight): number {
-  const unseen = sight ? unseenOthers(view, sight) : 0
-  const unread = unreadNow(view, lane) + uncachedTokens + unseen * unreadBefore(view.own, lane)
+export function predictFirstTokenMs (view: EndpointView, uncachedTokens: number, lane: Lane = 'late', context?: PredictionContext): number {
+  const unreported = context ? unreportedDaemons(view, context) : 0
+  const unread = unreadNow(view, lane) + uncachedTokens + unreported * unreadBefore(view.own, lane)
   const { firstMs, msPerToken } = paceOf(view)
-  const over = runningNow(view) + unseen * view.own.running + 1 - view.speed.batchSlots
-  const slotMs = over > 0 ? Math.max(SLOT_WAIT_MS, firstMs) * over / view.speed.batchSlots : 0
-  const slow = sight ? slowdown(view.rhythm, view.poolRhythm, sight.now) : 1
-  return (firstMs + unread * msPerToken + slotMs) * (slow > 1 ? Math.max(view.slowness, slow) : view.slowness)
+  const excessRequests = runningNow(view) + unreported * view.own.running + 1 - view.speed.batchSlots
+  const slotMs = excessRequests > 0 ? Math.max(MIN_SLOT_WAIT_MS, firstMs) * excessRequests / view.speed.batchSlots : 0
+  const factor = context ? slowdownFactor(view.rhythm, view.poolRhythm, context.now) : 1
+  return (firstMs + unread * msPerToken + slotMs) * (factor > 1 ? Math.max(view.slowness, factor) : view.slowness)
 }
 
-/** How long first tokens take at an endpoint: as learnt of its pool, else as it publishes. */
+/** Returns the first-token latency model learned for the endpoint's pool, or one derived from its published speed. */
 export function paceOf (view: EndpointView): Pace {
   return view.pace ?? { firstMs: view.firstMs, msPerToken: MS_PER_S / view.speed.prefillTokensPerS }
 }
 
-/** Longest pause of a stream over its typical one: 1.4 times for 99 in 100 streams of full batches, by their logs. */
-const LONGEST_PAUSE = 1.4
+/** Ratio of a stream's longest interval to its typical one. Logs show 1.4 or less for 99% of streams in full batches. */
+const MAX_INTERVAL_RATIO = 1.4
 
-/** False where the pieces of streams come too far apart now, by what its streams showed lately. */
-export function keepsPace (view: EndpointView, targetMs: number | undefined, now: number): boolean {
-  const pauseMs = view.rhythm?.pauseMs(now)
-  return targetMs === undefined || pauseMs === undefined || pauseMs * LONGEST_PAUSE <= targetMs
+/** Returns false if recent streams of the endpoint show intervals between chunks that would exceed the target. */
+export function meetsIntervalTarget (view: EndpointView, targetMs: number | undefined, now: number): boolean {
+  const intervalMs = view.rhythm?.pauseMs(now)
+  return targetMs === undefined || intervalMs === undefined || intervalMs * MAX_INTERVAL_RATIO <= targetMs
 }
 
-/** Predicts the time between tokens in milliseconds with one more stream in the batch. */
+/** Predicts the time between tokens with one more stream in the batch, in milliseconds. */
 export function predictBetweenTokensMs (view: EndpointView): number {
-  const batch = Math.min(runningNow(view) + 1, view.speed.batchSlots)
-  return view.speed.betweenTokensMs + view.speed.betweenTokensPerStreamMs * batch
+  const batchSize = Math.min(runningNow(view) + 1, view.speed.batchSlots)
+  return view.speed.betweenTokensMs + view.speed.betweenTokensPerStreamMs * batchSize
 }
 
 const MS_PER_S = 1000
-/** Shortest wait for one batch slot to come free, used to order full endpoints, in milliseconds. */
-const SLOT_WAIT_MS = 20
+/** Minimum wait for a free batch slot, in milliseconds. Used to rank full endpoints. */
+const MIN_SLOT_WAIT_MS = 20
--- a/core/routing/load_board.ts
+++ b/core/routing/load_board.ts
@@ -1,80 +1,82 @@
-/** Sums up what all daemons run at each endpoint, so that each can know of the others. */
+/** Aggregates the load that all daemons put on each endpoint, so that each daemon learns the load of the others. */
 import type { DaemonId, EndpointId } from '../ids/index.ts'
 import { addWork, LANES, noWork, type WorkLoad } from './work_load.ts'
 
-/** What one daemon runs at one endpoint. */
+/** Work of one daemon at one endpoint. */
 export type EndpointWork = readonly [endpoint: EndpointId, load: WorkLoad]
 
-interface Sheet { loads: ReadonlyMap<EndpointId, WorkLoad>, atMs: number }
+/** Last report of one daemon. */
+interface WorkReport { loads: ReadonlyMap<EndpointId, WorkLoad>, atMs: number }
 
-/** A daemon that was not heard for this long is dead or parted; its work is gone or will show, in milliseconds. */
-const SHEET_KEPT_MS = 1500
+/** Age at which a daemon's report expires, in milliseconds. The daemon is dead or partitioned by then; its work is gone or will show otherwise. */
+const REPORT_EXPIRY_MS = 1500
 
-/** Between two reports in a small fleet, in milliseconds: a fraction of the time that an engine takes for a long prompt. */
+/** Interval between reports in a small fleet, in milliseconds: a fraction of the time that an engine takes to prefill a long prompt. */
 const SMALL_FLEET_REPORT_MS = 100
-/** Daemons of a small fleet: the one that sums up hears them often. */
-const SMALL_FLEET = 33
+/** Maximum number of daemons in a small fleet, where the aggregating daemon can handle frequent reports. */
+const SMALL_FLEET_MAX_DAEMONS = 33
 /**
- * Between two reports in a larger one, in milliseconds. They travel with the votes for the daemon that sums up and cost it no message of their own; rarer ones would have
- * daemons place by word so old that it says nothing of an endpoint with a dozen batch slots.
+ * Interval between reports in a larger fleet, in milliseconds. Reports are sent together with the votes for the aggregating daemon and need no messages of
+ * their own. With longer intervals the load would be too old to route by, at endpoints with a dozen batch slots.
  */
-const REPORT_MS = 300
+const LARGE_FLEET_REPORT_MS = 300
 
-/** Time between two reports of a daemon's work, in milliseconds. */
+/** Returns the interval between two reports of a daemon's work, in milliseconds. */
 export function reportIntervalMs (daemons: number): number {
-  return daemons > SMALL_FLEET ? REPORT_MS : SMALL_FLEET_REPORT_MS
+  return daemons > SMALL_FLEET_MAX_DAEMONS ? LARGE_FLEET_REPORT_MS : SMALL_FLEET_REPORT_MS
 }
 
-/** Between two looks for daemons that were not heard, in milliseconds. */
-const SWEEP_MS = 250
+/** Interval between two checks for expired reports, in milliseconds. */
+const SWEEP_INTERVAL_MS = 250
 
 /**
- * Keeps the last word of each daemon.
+ * Keeps the last report of each daemon and the sums over all daemons.
  *
- * Sums are kept as words come: added up anew for each answer, the work of whoever sums up for a fleet would grow with the square of its daemons.
+ * Sums are updated incrementally. If they were recomputed for each query, the cost for the aggregating daemon would grow with the square of the number of
+ * daemons.
  */
 export class LoadBoard {
-  readonly #sheets = new Map<DaemonId, Sheet>()
+  readonly #reports = new Map<DaemonId, WorkReport>()
   readonly #sums = new Map<EndpointId, WorkLoad>()
   #sweptAtMs = -Infinity
 
-  /** Takes in what a daemon runs, all of it. */
+  /** Replaces the report of a daemon by its complete current work. */
   report (daemon: DaemonId, loads: readonly EndpointWork[], now: number): void {
-    this.#forget(daemon)
-    // Work may have ended since it was listed; a sum is kept only while there is some.
-    const working = loads.filter(([, load]) => !isNone(load))
-    this.#sheets.set(daemon, { loads: new Map(working.map(([endpoint, load]) => [endpoint, addWork(noWork(), load)])), atMs: now })
-    for (const [endpoint, load] of working) this.#sums.set(endpoint, addWork(this.#sums.get(endpoint) ?? noWork(), load))
+    this.#removeReport(daemon)
+    // Work may have ended since it was listed. Sums exist only for endpoints with work.
+    const nonEmpty = loads.filter(([, load]) => !isEmpty(load))
+    this.#reports.set(daemon, { loads: new Map(nonEmpty.map(([endpoint, load]) => [endpoint, addWork(noWork(), load)])), atMs: now })
+    for (const [endpoint, load] of nonEmpty) this.#sums.set(endpoint, addWork(this.#sums.get(endpoint) ?? noWork(), load))
   }
 
-  /** What the daemons but one run, by endpoint. */
+  /** Returns the work of all daemons except one, by endpoint. */
   othersOf (daemon: DaemonId, now: number): EndpointWork[] {
     this.#sweep(now)
-    const own = this.#sheets.get(daemon)?.loads
+    const ownLoads = this.#reports.get(daemon)?.loads
     return [...this.#sums].map(([endpoint, sum]) => {
       const others = addWork(noWork(), sum)
-      const part = own?.get(endpoint)
-      return [endpoint, part ? addWork(others, part, -1) : others]
+      const ownLoad = ownLoads?.get(endpoint)
+      return [endpoint, ownLoad ? addWork(others, ownLoad, -1) : others]
     })
   }
 
   #sweep (now: number): void {
-    if (now - this.#sweptAtMs < SWEEP_MS) return
+    if (now - this.#sweptAtMs < SWEEP_INTERVAL_MS) return
     this.#sweptAtMs = now
-    for (const [daemon, { atMs }] of this.#sheets) if (now - atMs > SHEET_KEPT_MS) this.#forget(daemon)
+    for (const [daemon, { atMs }] of this.#reports) if (now - atMs > REPORT_EXPIRY_MS) this.#removeReport(daemon)
   }
 
-  #forget (daemon: DaemonId): void {
-    const sheet = this.#sheets.get(daemon)
-    if (!sheet) return
-    this.#sheets.delete(daemon)
-    for (const [endpoint, load] of sheet.loads) {
+  #removeReport (daemon: DaemonId): void {
+    const report = this.#reports.get(daemon)
+    if (!report) return
+    this.#reports.delete(daemon)
+    for (const [endpoint, load] of report.loads) {
       const sum = addWork(this.#sums.get(endpoint)!, load, -1)
-      if (isNone(sum)) this.#sums.delete(endpoint)
+      if (isEmpty(sum)) this.#sums.delete(endpoint)
     }
   }
 }
 
-function isNone ({ running, unread }: WorkLoad): boolean {
+function isEmpty ({ running, unread }: WorkLoad): boolean {
   return running === 0 && LANES.every((lane) => unread[lane] === 0)
 }
--- a/core/routing/load_board_test.ts
+++ b/core/routing/load_board_test.ts
@@ -5,39 +5,39 @@
 
 const daemon = (i: number) => as<DaemonId>(`d${i}`)
 const endpoint = (i: number) => as<EndpointId>(`e${i}`)
-const KEPT_MS = 1500
-const SWEEP_MS = 250
+const REPORT_EXPIRY_MS = 1500
+const SWEEP_INTERVAL_MS = 250
 
 const work = fc.record({ running: fc.integer({ min: 0, max: 9 }), urgent: fc.integer({ min: 0, max: 9000 }), normal: fc.integer({ min: 0, max: 60_000 }) })
-const sheet = fc.array(fc.tuple(fc.integer({ min: 0, max: 4 }), work), { maxLength: 4 })
-const reports = fc.array(fc.record({ by: fc.integer({ min: 0, max: 5 }), sheet, afterMs: fc.integer({ min: 0, max: 900 }) }), { minLength: 1, maxLength: 40 })
+const workEntries = fc.array(fc.tuple(fc.integer({ min: 0, max: 4 }), work), { maxLength: 4 })
+const reports = fc.array(fc.record({ by: fc.integer({ min: 0, max: 5 }), workEntries, afterMs: fc.integer({ min: 0, max: 900 }) }), { minLength: 1, maxLength: 40 })
 
-const isWorking = ([, load]: EndpointWork) => load.running > 0 || load.unread.urgent > 0 || load.unread.normal > 0
+const isBusy = ([, load]: EndpointWork) => load.running > 0 || load.unread.urgent > 0 || load.unread.normal > 0
 
-test('sums are those of the last words, whatever the order in which daemons report, fall silent and report again', () => {
-  // Requests go where hundreds of others are already: a sum kept as words come would be wrong for good after one word that was taken off twice, or never.
-  fc.assert(fc.property(reports, (words) => {
+test('sums equal those of the last reports, in whatever order daemons report, stop and resume', () => {
+  // Guards against incremental sums that stay wrong after one report is subtracted twice or never, so that requests go to endpoints with hundreds of others.
+  fc.assert(fc.property(reports, (sequence) => {
     const board = new LoadBoard()
-    const last = new Map<DaemonId, { loads: EndpointWork[], atMs: number }>()
+    const lastReports = new Map<DaemonId, { loads: EndpointWork[], atMs: number }>()
     let now = 0
-    for (const { by, sheet, afterMs } of words) {
+    for (const { by, workEntries, afterMs } of sequence) {
       now += afterMs
-      const loads = [...new Map(sheet)].map(([i, { running, urgent, normal }]): EndpointWork => [endpoint(i), { running, unread: { urgent, normal, late: 0 } }])
+      const loads = [...new Map(workEntries)].map(([i, { running, urgent, normal }]): EndpointWork => [endpoint(i), { running, unread: { urgent, normal, late: 0 } }])
       board.report(daemon(by), loads, now)
-      last.set(daemon(by), { loads, atMs: now })
-      // A sweep is due.
-      now += SWEEP_MS
+      lastReports.set(daemon(by), { loads, atMs: now })
+      // The next call sweeps expired reports.
+      now += SWEEP_INTERVAL_MS
       board.othersOf(daemon(0), now)
-      const kept = [...last].filter(([, { atMs }]) => now - atMs <= KEPT_MS)
+      const unexpired = [...lastReports].filter(([, { atMs }]) => now - atMs <= REPORT_EXPIRY_MS)
       const sums = new Map<EndpointId, EndpointWork[1]>()
-      for (const [id, { loads }] of kept) if (id !== daemon(0)) for (const [at, load] of loads) sums.set(at, addWork(sums.get(at) ?? noWork(), load))
-      expect(new Map(board.othersOf(daemon(0), now).filter(isWorking))).toEqual(new Map([...sums].filter(isWorking)))
+      for (const [id, { loads }] of unexpired) if (id !== daemon(0)) for (const [at, load] of loads) sums.set(at, addWork(sums.get(at) ?? noWork(), load))
+      expect(new Map(board.othersOf(daemon(0), now).filter(isBusy))).toEqual(new Map([...sums].filter(isBusy)))
     }
   }), { seed: 7, numRuns: 200 })
 })
 
-test('a daemon that reports an endpoint without work there takes nothing from the others', () => {
-  // Guards against a sum that is gone while a report still counts on it, which ended the process.
+test('a report of an endpoint without work does not reduce the sums of others', () => {
+  // Guards against removing a sum that a later removal of a report still needs, which crashed the process.
   const board = new LoadBoard()
   const busy = { running: 1, unread: { urgent: 0, normal: 50, late: 0 } }
   board.report(daemon(1), [[endpoint(1), noWork()]], 0)
--- a/core/routing/reading_pace.ts
+++ b/core/routing/reading_pace.ts
@@ -1,102 +1,104 @@
-/** How long first tokens take at a pool's engines, learnt from those that came. */
+/** Learns the first-token latency of a pool's engines from observed first tokens. */
 
-/** Time to a first token: what it takes beside reading, and what each prompt token adds. */
+/** Linear model of the time to the first token. */
 export interface Pace {
+  /** Milliseconds to the first token without prefill. */
   firstMs: number
+  /** Milliseconds that each prompt token to be prefilled adds. */
   msPerToken: number
 }
 
-/** A first token that came. */
-export interface PaceSample {
-  /** Prompt tokens that were unread at the endpoint when the request was sent, its own included. */
+/** An observed first token. */
+export interface FirstTokenObservation {
+  /** Prompt tokens that the endpoint still had to prefill when the request was sent, including those of the request. */
   unreadTokens: number
   /** Milliseconds from the request to its first token. */
   firstMs: number
 }
 
-/** Options of {@linkcode ReadingPace}. */
-export interface ReadingPaceOptions {
-  /** What is believed before anything was seen. */
+/** Options of {@linkcode FirstTokenEstimator}. */
+export interface FirstTokenEstimatorOptions {
+  /** Estimate before any observation. */
   first: Pace
 }
 
-/** Part of what was seen before that a sample leaves: half of the belief is of the last 140 first tokens, seconds at any load that matters. */
-const KEPT = 0.995
-/** What the first belief counts for at first, in samples of short prompts: the first few first tokens outweigh it. */
-const FIRST_WEIGHT = 1
-/** Prompt that the first belief is taken at, beside an empty one, in tokens. */
-const FIRST_PROMPT_TOKENS = 4000
+/** Decay of the weight of older samples with each new one. The last 140 first tokens have half of the weight; any significant load produces them within seconds. */
+const DECAY = 0.995
+/** Initial weight of the prior, in samples of short prompts. A few observations outweigh it. */
+const PRIOR_WEIGHT = 1
+/** Prompt length at which the prior is sampled, in addition to an empty prompt, in tokens. */
+const PRIOR_PROMPT_TOKENS = 4000
 /**
- * Errors beyond this part of what was predicted pull no harder than this does: first tokens that waited for something else are late by any factor, none is
- * early by as much, and their mean is far above what reading takes.
+ * Relative error above which the influence of a sample no longer grows, as in Huber regression. First tokens that waited for something else may be late by
+ * any factor, but none is early by as much, so their mean is far above the actual prefill time.
  */
-const USUAL_ERROR = 0.2
-/** Errors below this tell nothing, in milliseconds: a step of an engine. */
-const LEAST_ERROR_MS = 5
-/** Prompt that is read in about the time that a first token takes beside reading, in tokens; shorter ones count alike. */
+const MAX_RELATIVE_ERROR = 0.2
+/** Duration of one engine step, in milliseconds. Smaller errors are noise and never limit a sample's influence. */
+const ENGINE_STEP_MS = 5
+/** Prompt length whose prefill takes about as long as the rest of the first-token latency, in tokens. Shorter prompts have about the same weight. */
 const SHORT_PROMPT_TOKENS = 2000
-/** Least time of a token: a line through few points may slope downwards. */
-const LEAST_MS_PER_TOKEN = 1e-4
+/** Minimum time per token; a line fitted to few points may have a negative slope. */
+const MIN_MS_PER_TOKEN = 1e-4
 
 /**
- * Learns a line through first tokens by the work before them, the older ones counting less.
+ * Fits a line to first-token latency over the tokens to be prefilled, with exponentially decaying weights.
  *
- * Load pattern: engines of another deployment read at half or twice the speed. A fixed guess then finds an endpoint in time that is late behind two
- * prompts, and orders a fleet of half the size.
+ * Engines of another deployment may prefill at half or twice the speed. With a fixed estimate an endpoint would count as in time although two queued prompts
+ * make it late, and a fleet of half the required size would be ordered.
  */
 export class ReadingPace implements Pace {
-  #weight = 0
-  #tokens = 0
-  #tokensSquared = 0
-  #ms = 0
-  #msTokens = 0
-  /** First tokens that it was learnt from. */
+  #weightSum = 0
+  #tokenSum = 0
+  #tokenSquareSum = 0
+  #msSum = 0
+  #msTokenSum = 0
+  /** Number of observed first tokens. */
   samples = 0
   firstMs: number
   msPerToken: number
 
-  constructor ({ first }: ReadingPaceOptions) {
+  constructor ({ first }: FirstTokenEstimatorOptions) {
     this.firstMs = first.firstMs
     this.msPerToken = first.msPerToken
-    for (const tokens of [0, FIRST_PROMPT_TOKENS]) {
+    for (const tokens of [0, PRIOR_PROMPT_TOKENS]) {
       const firstMs = first.firstMs + tokens * first.msPerToken
-      this.#add({ unreadTokens: tokens, firstMs }, FIRST_WEIGHT / 2)
+      this.#add({ unreadTokens: tokens, firstMs }, PRIOR_WEIGHT / 2)
     }
   }
 
-  /** Takes in a first token. */
-  learn ({ unreadTokens, firstMs }: PaceSample): void {
+  /** Adds an observed first token. */
+  learn ({ unreadTokens, firstMs }: FirstTokenObservation): void {
     const predictedMs = this.firstMs + unreadTokens * this.msPerToken
-    this.#fade()
-    const usualErrorMs = Math.max(LEAST_ERROR_MS, predictedMs * USUAL_ERROR)
-    const weight = Math.min(1, usualErrorMs / Math.abs(firstMs - predictedMs))
+    this.#decay()
+    const maxErrorMs = Math.max(ENGINE_STEP_MS, predictedMs * MAX_RELATIVE_ERROR)
+    const weight = Math.min(1, maxErrorMs / Math.abs(firstMs - predictedMs))
     this.#add({ unreadTokens, firstMs }, weight)
     this.samples++
-    this.#solve()
+    this.#fit()
   }
 
-  /** Errors count in proportion to the prompt: a long one is not ten times as telling for missing by ten times as much. */
-  #add ({ unreadTokens, firstMs }: PaceSample, samples: number): void {
-    const weight = samples / (1 + unreadTokens / SHORT_PROMPT_TOKENS) ** 2
-    this.#weight += weight
-    this.#tokens += weight * unreadTokens
-    this.#tokensSquared += weight * unreadTokens * unreadTokens
-    this.#ms += weight * firstMs
-    this.#msTokens += weight * firstMs * unreadTokens
+  /** Weighs errors relative to the prompt length, since the absolute error grows with it: an error ten times as large on a long prompt is no stronger evidence. */
+  #add ({ unreadTokens, firstMs }: FirstTokenObservation, sampleCount: number): void {
+    const weight = sampleCount / (1 + unreadTokens / SHORT_PROMPT_TOKENS) ** 2
+    this.#weightSum += weight
+    this.#tokenSum += weight * unreadTokens
+    this.#tokenSquareSum += weight * unreadTokens * unreadTokens
+    this.#msSum += weight * firstMs
+    this.#msTokenSum += weight * firstMs * unreadTokens
   }
 
-  #fade (): void {
-    this.#weight *= KEPT
-    this.#tokens *= KEPT
-    this.#tokensSquared *= KEPT
-    this.#ms *= KEPT
-    this.#msTokens *= KEPT
+  #decay (): void {
+    this.#weightSum *= DECAY
+    this.#tokenSum *= DECAY
+    this.#tokenSquareSum *= DECAY
+    this.#msSum *= DECAY
+    this.#msTokenSum *= DECAY
   }
 
-  /** The line with the least squared error; without a spread of prompts the slope stays, and the line moves. */
-  #solve (): void {
-    const spread = this.#weight * this.#tokensSquared - this.#tokens * this.#tokens
-    if (spread > 0) this.msPerToken = Math.max(LEAST_MS_PER_TOKEN, (this.#weight * this.#msTokens - this.#tokens * this.#ms) / spread)
-    this.firstMs = Math.max(0, (this.#ms - this.msPerToken * this.#tokens) / this.#weight)
+  /** Computes the weighted least-squares line. If all prompts have the same length, the slope is kept and only the intercept changes. */
+  #fit (): void {
+    const determinant = this.#weightSum * this.#tokenSquareSum - this.#tokenSum * this.#tokenSum
+    if (determinant > 0) this.msPerToken = Math.max(MIN_MS_PER_TOKEN, (this.#weightSum * this.#msTokenSum - this.#tokenSum * this.#msSum) / determinant)
+    this.firstMs = Math.max(0, (this.#msSum - this.msPerToken * this.#tokenSum) / this.#weightSum)
   }
 }
--- a/core/routing/router.ts
+++ b/core/routing/router.ts
@@ -1,35 +1,35 @@
-/** Choice of an endpoint for one request. */
+/** Selects an endpoint for one request. */
 import type { EndpointId } from '../ids/index.ts'
-import { keepsPace, paceOf, predictBetweenTokensMs, predictFirstTokenMs, runningNow, unreadNow, type EndpointView, type Sight } from './endpoint_view.ts'
+import { meetsIntervalTarget, paceOf, predictBetweenTokensMs, predictFirstTokenMs, runningNow, unreadNow, type EndpointView, type PredictionContext } from './endpoint_view.ts'
 import type { Lane } from './work_load.ts'
 
-/** What a router needs to know of a request. */
+/** Properties of a request that a router needs. */
 export interface RouteQuery {
   promptTokens: number
   expectedTokens: number
   firstTokenMs: number
   betweenTokensMs: number | undefined
   avoid: readonly EndpointId[]
-  /** Order in which endpoints read prompts. Default: behind everything else. */
+  /** Prefill priority at the endpoint. Default: `late`, after everything else. */
   lane?: Lane
-  /** Prompt tokens that an endpoint's prefix cache is believed to hold. */
+  /** Returns the number of prompt tokens assumed to be in an endpoint's prefix cache. */
   cachedTokens (endpoint: EndpointId): number
 }
 
-/** A choice and the prediction that led to it. */
+/** A selected endpoint and the prediction for it. */
 export interface Route {
   view: EndpointView
   firstTokenMs: number
   meetsTarget: boolean
-  /** Where the request stands among others at the endpoint. */
+  /** Prefill priority of the request at the endpoint. */
   lane: Lane
-  /** Prompt tokens that the endpoint has to read. */
+  /** Prompt tokens that the endpoint has to prefill. */
   uncachedTokens: number
-  /** These and all that it reads before them; undefined where the request waits for a batch slot besides. */
+  /** Uncached tokens plus all tokens prefilled before them; undefined if the request also waits for a batch slot. */
   unreadTokens: number | undefined
 }
 
-/** Chooses an endpoint, or none when every candidate is leaving, full or ejected. */
+/** Selects an endpoint, or none if every candidate is leaving, ejected or to be avoided. */
 export interface Router {
   pick (query: RouteQuery, candidates: readonly EndpointView[], now: number): Route | undefined
 }
@@ -41,13 +41,13 @@
 export interface TargetRouterOptions {
   /** Seeded random source. */
   random: Random
-  /** Candidates looked at together. Default 2. */
+  /** Number of candidates compared in one round. Default 2. */
   choices?: number
-  /** Times that candidates are looked at, as long as none meets the target. Default 2. */
+  /** Maximum number of rounds, as long as no candidate meets the target. Default 2. */
   rounds?: number
-  /** Daemons that use one endpoint. Default: only this one. */
+  /** Returns the number of daemons that use one endpoint. Default: only this one. */
   sharers? (): number
-  /** Time that a request to an endpoint takes on the way, both ways, in milliseconds. Default: none. */
+  /** Returns the network round-trip time to an endpoint, in milliseconds. Default: 0. */
   wayMs? (view: EndpointView): number
 }
 
@@ -56,11 +56,12 @@
 const MS_PER_HOUR = 3_600_000
 
 /**
- * Meets the latency target first, then takes the cheapest endpoint that does.
+ * Prefers endpoints that meet the latency target, and among those the cheapest.
  *
- * Looks at two candidates, the one with the longest cached prefix and random ones, at two more where neither meets the target, and never at the best of all. Load
- * pattern: many daemons share a few endpoints that are nearly full, and know of each other's work what is tenths of a second old. If each looks at all, all find the
- * same best one; it is sent several times as many requests as it has batch slots before the first report tells of them, and none for the second after.
+ * Compares only a few candidates, two by default: the endpoint with the longest cached prefix and random ones, then two more if neither meets the target.
+ * Many daemons may share a few nearly full endpoints while their knowledge of each other's load is tenths of a second old. If each compared all endpoints,
+ * all would select the same one: it would be sent several times as many requests as it has batch slots before the first report shows them, and none for
+ * the second after that.
  */
 export class TargetRouter implements Router {
   readonly #random: Random
@@ -76,15 +77,15 @@
   }
 
   pick (query: RouteQuery, candidates: readonly EndpointView[], now: number): Route | undefined {
-    const open = candidates.filter((view) => isOpen(view, query, now))
-    const sight = { now, sharers: this.#options.sharers?.() ?? 1 }
+    const eligible = candidates.filter((view) => isEligible(view, query, now))
+    const context = { now, sharers: this.#options.sharers?.() ?? 1 }
     let best: Route | undefined
-    for (let looked = 0; looked < open.length; looked++) {
-      const roundOver = looked > 0 && looked % this.#choices === 0
-      if (roundOver && (best!.meetsTarget || looked >= this.#choices * this.#rounds)) break
-      const other = looked === 0 ? longestCached(open, query) : undefined
-      swap(open, looked, other ?? looked + Math.floor(this.#random() * (open.length - looked)))
-      best = this.#better(query, best, predict(query, open[looked]!, sight))
+    for (let examined = 0; examined < eligible.length; examined++) {
+      const roundOver = examined > 0 && examined % this.#choices === 0
+      if (roundOver && (best!.meetsTarget || examined >= this.#choices * this.#rounds)) break
+      const preferred = examined === 0 ? indexOfLongestCachedPrefix(eligible, query) : undefined
+      swap(eligible, examined, preferred ?? examined + Math.floor(this.#random() * (eligible.length - examined)))
+      best = this.#better(query, best, predict(query, eligible[examined]!, context))
     }
     return best
   }
@@ -95,54 +96,54 @@
     return this.#score(query, route) < this.#score(query, best) ? route : best
   }
 
-  /** Money for the request on this endpoint, or the predicted wait when the target is missed anyway. */
+  /** Returns the price of the request on this endpoint, or the predicted wait if the target is missed. Lower is better. */
   #score (query: RouteQuery, route: Route): number {
     const { view } = route
-    const othersMs = OTHERS_PART * route.uncachedTokens * paceOf(view).msPerToken
-    const waitMs = route.firstTokenMs + othersMs + (this.#options.wayMs?.(view) ?? 0) + FULLNESS_MS * runningNow(view) / view.speed.batchSlots
+    const delayToOthersMs = DELAY_TO_OTHERS_WEIGHT * route.uncachedTokens * paceOf(view).msPerToken
+    const waitMs = route.firstTokenMs + delayToOthersMs + (this.#options.wayMs?.(view) ?? 0) + FULL_BATCH_PENALTY_MS * runningNow(view) / view.speed.batchSlots
     if (!route.meetsTarget) return waitMs
     const runMs = route.firstTokenMs + query.expectedTokens * predictBetweenTokensMs(view)
-    const holding = view.pricePerHour * (runMs / MS_PER_HOUR) / view.speed.batchSlots
-    return holding + waitMs * TIE_BREAK
+    const runPrice = view.pricePerHour * (runMs / MS_PER_HOUR) / view.speed.batchSlots
+    return runPrice + waitMs * TIE_BREAK_PRICE_PER_MS
   }
 }
 
 /**
- * What a request's reading delays others by, as a part of the time that it takes: whoever comes next waits for it, too.
+ * Weight of a request's prefill time as a delay for the requests queued behind it.
  *
- * It keeps shared parts of prompts where they are read already, as long as the first token is in time there.
+ * It favors endpoints that already cache shared parts of the prompt, as long as the first token is in time there.
  */
-const OTHERS_PART = 1
+const DELAY_TO_OTHERS_WEIGHT = 1
 
-/** What a full batch counts for beside the predicted wait, in milliseconds: endpoints that are equal otherwise share the work. */
-const FULLNESS_MS = 5
+/** Penalty of a full batch added to the predicted wait, in milliseconds. Distributes work among otherwise equal endpoints. */
+const FULL_BATCH_PENALTY_MS = 5
 
-/** Money per millisecond of predicted wait: orders endpoints of one price by load. */
-const TIE_BREAK = 1e-9
+/** Price per millisecond of predicted wait. Ranks endpoints with equal prices by load. */
+const TIE_BREAK_PRICE_PER_MS = 1e-9
 
-/** Baseline: the endpoint with the fewest running requests, by the last report and own work. */
+/** Baseline router: selects the endpoint with the fewest running requests according to the last report and the daemon's own work. */
 export class LeastLoadedRouter implements Router {
   pick (query: RouteQuery, candidates: readonly EndpointView[], now: number): Route | undefined {
     let best: EndpointView | undefined
     for (const view of candidates) {
-      if (!isOpen(view, query, now)) continue
+      if (!isEligible(view, query, now)) continue
       if (!best || runningNow(view) < runningNow(best)) best = view
     }
     return best && predict(query, best, { now, sharers: 1 })
   }
 }
 
-/** Place of the endpoint that keeps most of the prompt; undefined where none keeps any. */
-function longestCached (open: readonly EndpointView[], query: RouteQuery): number | undefined {
-  let longest: number | undefined
+/** Returns the index of the endpoint that caches most of the prompt; undefined if none caches any of it. */
+function indexOfLongestCachedPrefix (eligible: readonly EndpointView[], query: RouteQuery): number | undefined {
+  let longestIndex: number | undefined
   let longestTokens = 0
-  open.forEach((view, place) => {
+  eligible.forEach((view, index) => {
     const cached = query.cachedTokens(view.id)
     if (cached <= longestTokens) return
-    longest = place
+    longestIndex = index
     longestTokens = cached
   })
-  return longest
+  return longestIndex
 }
 
 function swap (views: EndpointView[], a: number, b: number): void {
@@ -151,19 +152,19 @@
   views[b] = view
 }
 
-function isOpen (view: EndpointView, query: RouteQuery, now: number): boolean {
+function isEligible (view: EndpointView, query: RouteQuery, now: number): boolean {
   return view.leavingAtMs === undefined && view.ejectedUntilMs <= now && !query.avoid.includes(view.id)
 }
 
-/** A request that cannot meet its target any more goes behind those that still can. */
-function predict (query: RouteQuery, view: EndpointView, sight: Sight): Route {
+/** Predicts the route to an endpoint. A request that can no longer meet its target is moved to the `late` lane, behind those that still can. */
+function predict (query: RouteQuery, view: EndpointView, context: PredictionContext): Route {
   const lane = query.lane ?? 'late'
   const uncachedTokens = Math.max(0, query.promptTokens - query.cachedTokens(view.id))
-  const firstTokenMs = predictFirstTokenMs(view, uncachedTokens, lane, sight)
-  const betweenOk = query.betweenTokensMs === undefined || (predictBetweenTokensMs(view) <= query.betweenTokensMs && keepsPace(view, query.betweenTokensMs, sight.now))
-  const roomLeft = runningNow(view) < view.speed.batchSlots
-  const meetsTarget = roomLeft && betweenOk && firstTokenMs <= query.firstTokenMs
-  const unreadIn = (of: Lane) => (roomLeft ? unreadNow(view, of) + uncachedTokens : undefined)
-  if (meetsTarget || lane === 'late' || firstTokenMs <= query.firstTokenMs) return { view, firstTokenMs, meetsTarget, lane, uncachedTokens, unreadTokens: unreadIn(lane) }
-  return { view, firstTokenMs: predictFirstTokenMs(view, uncachedTokens, 'late', sight), meetsTarget, lane: 'late', uncachedTokens, unreadTokens: unreadIn('late') }
+  const firstTokenMs = predictFirstTokenMs(view, uncachedTokens, lane, context)
+  const meetsTokenInterval = query.betweenTokensMs === undefined || (predictBetweenTokensMs(view) <= query.betweenTokensMs && meetsIntervalTarget(view, query.betweenTokensMs, context.now))
+  const hasFreeSlot = runningNow(view) < view.speed.batchSlots
+  const meetsTarget = hasFreeSlot && meetsTokenInterval && firstTokenMs <= query.firstTokenMs
+  const unreadTokensIn = (targetLane: Lane) => (hasFreeSlot ? unreadNow(view, targetLane) + uncachedTokens : undefined)
+  if (meetsTarget || lane === 'late' || firstTokenMs <= query.firstTokenMs) return { view, firstTokenMs, meetsTarget, lane, uncachedTokens, unreadTokens: unreadTokensIn(lane) }
+  return { view, firstTokenMs: predictFirstTokenMs(view, uncachedTokens, 'late', context), meetsTarget, lane: 'late', uncachedTokens, unreadTokens: unreadTokensIn('late') }
 }
--- a/core/routing/routing_test.ts
+++ b/core/routing/routing_test.ts
@@ -31,25 +31,25 @@
 const query = (change: Partial<RouteQuery> = {}): RouteQuery => ({ promptTokens: 1000, expectedTokens: 100, firstTokenMs: 1800, betweenTokensMs: 32, avoid: [], cachedTokens: () => 0, ...change })
 const router = () => new TargetRouter({ random: () => 0.5 })
 
-test('the cheapest endpoint that meets the target is taken, not the cheapest', () => {
+test('selects the cheapest endpoint that meets the target, not the cheapest overall', () => {
   const busy = view('cheap', { pricePerHour: 2, others: { running: 1, unread: { urgent: 0, normal: 5000, late: 0 } } })
   const free = view('dear', { pricePerHour: 6 })
   expect(router().pick(query(), [busy, free], 0)).toMatchObject({ view: { id: 'dear' }, meetsTarget: true })
   expect(router().pick(query({ firstTokenMs: 10_000 }), [busy, free], 0)).toMatchObject({ view: { id: 'cheap' } })
 })
 
-test('leaving, ejected and avoided endpoints get nothing', () => {
+test('leaving, ejected and avoided endpoints are not selected', () => {
   const views = [view('leaving', { leavingAtMs: 1 }), view('ejected', { ejectedUntilMs: 100 }), view('avoided')]
   for (const each of [router(), new LeastLoadedRouter()]) expect(each.pick(query({ avoid: [id('avoided')] }), views, 50)).toBeUndefined()
 })
 
-test('a cached prefix counts for the first token', () => {
+test('a cached prefix shortens the predicted first-token latency', () => {
   const views = [view('a', { others: { running: 0, unread: { urgent: 0, normal: 900, late: 0 } } }), view('b')]
   expect(router().pick(query({ firstTokenMs: 950, cachedTokens: (endpoint) => (endpoint === 'a' ? 950 : 0) }), views, 0)).toMatchObject({ view: { id: 'a' } })
 })
 
-test('own work counts before any report shows it', () => {
-  // Tokens come too slowly in bursts: until the next report every request goes to the endpoint that was idle in the last one.
+test('own work counts before it is reported', () => {
+  // Guards against sending a whole burst of requests to the endpoint that was idle in the last report, where tokens then come too slowly.
   const views = [view('a'), view('b')]
   const picked = Array.from({ length: 8 }, () => {
     const { view: chosen } = router().pick(query(), views, 0)!
@@ -60,7 +60,7 @@
   expect(picked.filter((each) => each === 'a')).toHaveLength(4)
 })
 
-test('a prompt is found where its beginning ran, until nothing confirms it any more', () => {
+test('a prompt prefix is found at the endpoint that ran it, until the entry expires', () => {
   const index = new PrefixIndex({ expiresMs: 1000 })
   const parts = (prompt: string) => partsOf(prompt, { hash, blockLength: 8 })
   index.record(parts('shared--beginning-of-a'), id('a'), 0)
@@ -69,7 +69,7 @@
   expect(index.lookup(parts('shared--beginning-of-b'), 2000).size).toBe(0)
 })
 
-test('an endpoint that leaves changes one place of a subset, and subsets differ between daemons', () => {
+test('an endpoint that leaves changes one entry of a subset, and subsets differ between daemons', () => {
   const all = Array.from({ length: 100 }, (_, i) => ({ id: `e${i}` }))
   const before = subset(as('daemon'), all, { hash, size: 10 })
   const after = subset(as('daemon'), all.filter((each) => each !== before[0]), { hash, size: 10 })
@@ -77,15 +77,15 @@
   expect(subset(as('other'), all, { hash, size: 10 })).not.toEqual(before)
 })
 
-test('an endpoint that just came is not overrun by all daemons at once', () => {
-  // Callers wait for seconds though endpoints are enough: after a reclaim eight daemons have work that waits, a new endpoint is listed, and before
-  // the first report tells of it each has sent it all it has.
+test('a newly listed endpoint is not overloaded by all daemons at once', () => {
+  // Guards against waits of seconds despite sufficient endpoints: after a reclaim eight daemons have queued work, and each sends all of it to a newly listed
+  // endpoint before the first report.
   const sent = [0, 0]
   for (let daemon = 0; daemon < 8; daemon++) {
     const views = [view('new', { speed: { ...view('x').speed, batchSlots: 48 }, listedAtMs: 1000 }), view('old', { speed: { ...view('x').speed, batchSlots: 48 } })]
-    const daemonsRouter = new TargetRouter({ random: () => 0.5, sharers: () => 8 })
+    const daemonRouter = new TargetRouter({ random: () => 0.5, sharers: () => 8 })
     for (let i = 0; i < 8; i++) {
-      const { view: chosen } = daemonsRouter.pick(query({ firstTokenMs: 20_000 }), views, 1050)!
+      const { view: chosen } = daemonRouter.pick(query({ firstTokenMs: 20_000 }), views, 1050)!
       chosen.own.running++
       chosen.own.unread.normal += 1000
       sent[chosen.id === id('new') ? 0 : 1]!++
@@ -95,8 +95,8 @@
   expect(sent[0]).toBeGreaterThan(0)
 })
 
-test('shared parts stay where they are read, as long as the first token is in time there', () => {
-  // Half of the prompts about one matter are read again at another endpoint, which was a little emptier: each takes the time of those behind it.
+test('requests go where shared parts are cached, as long as the first token is in time there', () => {
+  // Guards against prefilling shared prompts again at a slightly less loaded endpoint, which delays the requests queued there.
   const views = [view('keeps', { pricePerHour: 0, others: { running: 0, unread: { urgent: 0, normal: 900, late: 0 } } }), view('empty', { pricePerHour: 0 })]
   const cachedTokens = (endpoint: EndpointId) => (endpoint === id('keeps') ? 600 : 0)
   expect(router().pick(query({ cachedTokens }), views, 0)).toMatchObject({ view: { id: 'keeps' }, uncachedTokens: 400 })
--- a/core/routing/speed_learner.ts
+++ b/core/routing/speed_learner.ts
@@ -1,22 +1,26 @@
-/** Learns from first tokens how fast an endpoint is. */
+/** Learns the speed of an endpoint relative to predictions from its first tokens. */
 
-/** What was predicted of one request when it was sent, and what came. */
+/** Predicted and actual first-token latency of one request. */
 export interface FirstTokenSample {
+  /** Prediction when the request was sent, in milliseconds. */
   predictedMs: number
   actualMs: number
-  /** Prompt tokens unread before it and its own; undefined for a plain call, and for one that waited for more than reading. */
+  /**
+   * Prompt tokens to be prefilled before the first token, including those of the request. Undefined for a plain call, and for a request that also waited for
+   * something other than prefill.
+   */
   unreadTokens?: number | undefined
 }
 
-/** Weight of one sample: a few dozen of them tell a slow endpoint from a bad moment. */
+/** Weight of one sample. A few dozen samples distinguish a slow endpoint from a temporary delay. */
 const SMOOTHING = 0.05
-/** Bounds of one sample's ratio, so that a single stall does not make an endpoint look dead. */
-const LEAST_RATIO = 0.5
-const LARGEST_RATIO = 4
+/** Bounds of the ratio of one sample, so that a single stall does not make an endpoint appear dead. */
+const MIN_RATIO = 0.5
+const MAX_RATIO = 4
 
-/** Takes in a sample and gives the new slowness, which multiplies predictions. */
-export function learnSlowness (slowness: number, sample: FirstTokenSample): number {
-  // The prediction had the slowness of that moment in it; what matters is the part beside.
-  const ratio = Math.min(LARGEST_RATIO, Math.max(LEAST_RATIO, sample.actualMs * slowness / Math.max(1, sample.predictedMs)))
-  return slowness + SMOOTHING * (ratio - slowness)
+/** Returns the latency factor updated with a sample. Predictions are multiplied by this factor. */
+export function learnSlowness (latencyFactor: number, sample: FirstTokenSample): number {
+  // The prediction already includes the factor, so it is divided out again.
+  const ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, sample.actualMs * latencyFactor / Math.max(1, sample.predictedMs)))
+  return latencyFactor + SMOOTHING * (ratio - latencyFactor)
 }
--- a/core/routing/stream_rhythm.ts
+++ b/core/routing/stream_rhythm.ts
@@ -1,58 +1,57 @@
-/** How far apart the pieces of streams come, learnt from those that came. */
+/** Learns the interval between chunks of streams. */
 
-/** Options of {@linkcode StreamRhythm}. */
-export interface StreamRhythmOptions {
-  /** Weight of one pause. Default 0.1: a second of a handful of streams tells a slow endpoint from a busy moment. */
+/** Options of {@linkcode ChunkIntervalEstimator}. */
+export interface ChunkIntervalEstimatorOptions {
+  /** Weight of one interval. Default 0.1: one second of a handful of streams distinguishes a slow endpoint from a temporary delay. */
   smoothing?: number
 }
 
 const DEFAULT_SMOOTHING = 0.1
-/** Weight of one pause among those of all endpoints of a pool: one slow endpoint may not make itself usual. */
+/** Weight of one interval in the estimate for a whole pool. It is small, so that one slow endpoint does not shift the pool's typical interval. */
 export const POOL_SMOOTHING = 0.01
-/** Pauses that were seen this long ago say nothing of an endpoint now, in milliseconds: it gets work again, and shows. */
-const FRESH_MS = 2500
-/** Fewer pauses than this tell nothing. */
-const LEAST_SAMPLES = 3
+/** Age at which samples expire, in milliseconds. An endpoint without recent samples gets work again, which yields new ones. */
+const MAX_SAMPLE_AGE_MS = 2500
+/** Minimum number of samples for an estimate. */
+const MIN_SAMPLES = 3
 
-/** Typical pause of the streams of one endpoint, or of all of a pool. */
+/** Estimates the typical interval between chunks for the streams of an endpoint or of a pool. */
 export class StreamRhythm {
   readonly #smoothing: number
-  #pauseMs = 0
+  #meanMs = 0
   #samples = 0
-  #learntAtMs = -Infinity
+  #lastSampleAtMs = -Infinity
 
-  constructor (options: StreamRhythmOptions = {}) {
+  constructor (options: ChunkIntervalEstimatorOptions = {}) {
     this.#smoothing = options.smoothing ?? DEFAULT_SMOOTHING
   }
 
-  /** Takes in the time between two pieces of one stream. */
-  learn (pauseMs: number, now: number): void {
-    if (now - this.#learntAtMs > FRESH_MS) this.#samples = 0
-    this.#pauseMs = this.#samples === 0 ? pauseMs : this.#pauseMs + this.#smoothing * (pauseMs - this.#pauseMs)
+  /** Adds the interval between two chunks of one stream. */
+  learn (intervalMs: number, now: number): void {
+    if (now - this.#lastSampleAtMs > MAX_SAMPLE_AGE_MS) this.#samples = 0
+    this.#meanMs = this.#samples === 0 ? intervalMs : this.#meanMs + this.#smoothing * (intervalMs - this.#meanMs)
     this.#samples++
-    this.#learntAtMs = now
+    this.#lastSampleAtMs = now
   }
 
-  /** The typical pause in milliseconds; undefined while too little was seen lately. */
+  /** Returns the typical interval in milliseconds; undefined if there are too few recent samples. */
   pauseMs (now: number): number | undefined {
-    return this.#samples >= LEAST_SAMPLES && now - this.#learntAtMs <= FRESH_MS ? this.#pauseMs : undefined
+    return this.#samples >= MIN_SAMPLES && now - this.#lastSampleAtMs <= MAX_SAMPLE_AGE_MS ? this.#meanMs : undefined
   }
 }
 
-/** A pause this many times the pool's typical one is the endpoint's own: a full batch makes it 1.4 times as long. */
-const SLOW_FACTOR = 2
+/** Ratio to the pool's typical interval from which an endpoint counts as slow. A full batch alone makes intervals 1.4 times as long. */
+const MIN_SLOWDOWN = 2
 
 /**
- * Tells how many times slower than the rest of its pool an endpoint is.
+ * Returns how many times slower an endpoint is than its pool, or 1 if it is not slow.
  *
- * Load pattern: an endpoint turns slow while its streams run. Its first tokens tell only of those that come late already; each piece of each stream
- * tells at once.
- * @returns 1 for one that is not slow.
+ * An endpoint may become slow while its streams run. First tokens show this only after requests were already late, whereas every chunk of every stream shows
+ * it immediately.
  */
-export function slowdown (endpoint: StreamRhythm | undefined, pool: StreamRhythm | undefined, now: number): number {
-  const pauseMs = endpoint?.pauseMs(now)
-  const usualMs = pool?.pauseMs(now)
-  if (pauseMs === undefined || usualMs === undefined || usualMs <= 0) return 1
-  const factor = pauseMs / usualMs
-  return factor >= SLOW_FACTOR ? factor : 1
+export function slowdownFactor (endpoint: StreamRhythm | undefined, pool: StreamRhythm | undefined, now: number): number {
+  const intervalMs = endpoint?.pauseMs(now)
+  const poolIntervalMs = pool?.pauseMs(now)
+  if (intervalMs === undefined || poolIntervalMs === undefined || poolIntervalMs <= 0) return 1
+  const factor = intervalMs / poolIntervalMs
+  return factor >= MIN_SLOWDOWN ? factor : 1
 }
--- a/core/routing/subset.ts
+++ b/core/routing/subset.ts
@@ -1,22 +1,23 @@
-/** Deterministic choice of the few endpoints that one daemon connects to. */
+/** Selects deterministically the subset of endpoints that a daemon connects to. */
 import type { DaemonId } from '../ids/index.ts'
 
-/** Hashes a text to an unsigned 32-bit number. */
+/** Hashes a string to an unsigned 32-bit integer. */
 export type Hash32 = (text: string) => number
 
 /** Options of {@linkcode subset}. */
 export interface SubsetOptions {
   hash: Hash32
-  /** Endpoints to keep. Default 24. */
+  /** Number of endpoints in the subset. Default 24. */
   size?: number
 }
 
 const DEFAULT_SIZE = 24
 
 /**
- * Keeps the endpoints that rank highest for a daemon by rendezvous hashing.
+ * Selects the endpoints with the highest rank for a daemon by rendezvous hashing.
  *
- * A daemon that joins or an endpoint that leaves changes one place in the subsets it touches and no other.
+ * When an endpoint leaves, each subset that contains it changes by one entry and all other subsets stay the same. Daemons that join or leave do not affect
+ * the subsets of others.
  * @example `subset(daemon, endpoints, { hash, size: 24 })`
  */
 export function subset<T extends { id: string }> (daemon: DaemonId, endpoints: readonly T[], options: SubsetOptions): T[] {
--- a/core/routing/work_load.ts
+++ b/core/routing/work_load.ts
@@ -1,35 +1,35 @@
-/** Work at an endpoint that its order of urgency keeps apart. */
+/** Work at an endpoint, by prefill priority. */
 
 /**
- * Order in which an engine reads prompts: all of a lower lane before any of a higher one.
+ * Priority lanes in the order in which an engine prefills prompts. A prompt starts only when all earlier lanes are empty.
  *
- * `urgent` for short classes, `normal` for long ones, `late` for requests that can no longer meet their target: they are served with what
- * time is left, and make no other late.
+ * `urgent` is for short classes, `normal` for long ones, and `late` for requests that can no longer meet their target: they use the remaining time and delay
+ * no others.
  */
 export const LANES = ['urgent', 'normal', 'late'] as const
-/** One lane. */
+/** A priority lane. */
 export type Lane = typeof LANES[number]
 
-/** Work that was sent to an endpoint and is not finished. */
+/** Unfinished work at an endpoint. */
 export interface WorkLoad {
   running: number
-  /** Prompt tokens that are not read yet, by lane. */
+  /** Prompt tokens that are not prefilled yet, by lane. */
   unread: Record<Lane, number>
 }
 
-/** No work. */
+/** Returns an empty load. */
 export function noWork (): WorkLoad {
   return { running: 0, unread: { urgent: 0, normal: 0, late: 0 } }
 }
 
-/** Adds work to other work, or takes it away with a `sign` of -1. */
+/** Adds `more` to `sum` in place, or subtracts it with a `sign` of -1, and returns `sum`. Values never become negative. */
 export function addWork (sum: WorkLoad, more: WorkLoad, sign: 1 | -1 = 1): WorkLoad {
   sum.running = Math.max(0, sum.running + sign * more.running)
   for (const lane of LANES) sum.unread[lane] = Math.max(0, sum.unread[lane] + sign * more.unread[lane])
   return sum
 }
 
-/** Tokens that are read before those of a new request in a lane. */
+/** Returns the number of tokens that are prefilled before those of a new request in a lane. */
 export function unreadBefore (load: WorkLoad, lane: Lane): number {
   let tokens = 0
   for (const each of LANES) {
