--- a/core/registry/departures.ts
+++ b/core/registry/departures.ts
@@ -1,64 +1,65 @@
-/** What is known of hosts that leave, and which word of it is out of date. */
+/** Tracks hosts that are leaving and detects outdated reports about them. */
 import type { HostId } from '../ids/index.ts'
 
-/** That a host leaves. */
+/** A host that is leaving. */
 export interface Departure {
-  /** When it is gone, in milliseconds on the steady clock. */
+  /** When the host will be gone, in milliseconds on the steady clock. */
   goneAtMs: number
-  /** Version of the registry that shows it; undefined for what anybody else told. */
+  /** Registry version that shows the departure; undefined if it was reported by another source. */
   version?: number | undefined
 }
 
-/** Longer than news takes from one daemon to all others, in milliseconds. */
-const RUMOUR_MS = 5000
-/** How long a host that is gone is remembered, in milliseconds. */
-const FORGOTTEN_MS = 600_000
+/** Upper bound of the time that gossip takes to reach all daemons, in milliseconds. */
+const GOSSIP_MS = 5000
+/** How long the departure of a host is kept after the host is gone, in milliseconds. */
+const RETENTION_MS = 600_000
 
 /**
- * Remembers departures, whether a list shows the host or not: a list that lags shows a host again after it was missing, and as a new one it would get work.
+ * Keeps departures of hosts, including hosts that are not listed: a stale list may show a host again after it was missing, and it would get work as if it were
+ * new.
  *
- * Word of a departure goes round among daemons long after the host may have returned. What the registry said bears its version, and is out of date where
- * the host's entry was written later; a span of time in which no word is believed would hide the next departure.
+ * Gossip about a departure may arrive long after the host has returned. A report from the registry carries the registry's version and is outdated if the
+ * host's entry was written later. Ignoring all reports for a fixed time instead would hide the next departure.
  */
 export class Departures {
-  readonly #gone = new Map<HostId, Departure>()
-  /** Versions at which entries of living hosts were written. */
-  readonly #written = new Map<HostId, number>()
+  readonly #departures = new Map<HostId, Departure>()
+  /** Versions at which the entries of live hosts were last written. */
+  readonly #liveEntryVersions = new Map<HostId, number>()
   readonly #returnedAtMs = new Map<HostId, number>()
 
-  /** A list shows a host as living, with the version at which its entry was written: after its departure it has returned. */
+  /** Records that a list shows a host as live, with the version at which its entry was written. If that is later than its departure, the host has returned. */
   shown (host: HostId, { version, now }: { version: number, now: number }): void {
-    this.#written.set(host, Math.max(version, this.#written.get(host) ?? 0))
-    const left = this.#gone.get(host)
-    if (left?.version !== undefined && version > left.version) this.returned(host, now)
+    this.#liveEntryVersions.set(host, Math.max(version, this.#liveEntryVersions.get(host) ?? 0))
+    const departure = this.#departures.get(host)
+    if (departure?.version !== undefined && version > departure.version) this.returned(host, now)
   }
 
-  /** True for a peer's word of the time before the host returned. */
+  /** Returns whether a peer's report of a departure dates from before the host returned. */
   isOld (host: HostId, { version, now }: { version: number | undefined, now: number }): boolean {
-    if (version === undefined) return now - (this.#returnedAtMs.get(host) ?? -Infinity) < RUMOUR_MS
-    return (this.#written.get(host) ?? -Infinity) > version
+    if (version === undefined) return now - (this.#returnedAtMs.get(host) ?? -Infinity) < GOSSIP_MS
+    return (this.#liveEntryVersions.get(host) ?? -Infinity) > version
   }
 
-  /** Notes that a host leaves, as of the latest version that anybody saw it leave at. */
+  /** Records a departure and keeps the latest registry version reported for it. */
   note (host: HostId, { goneAtMs, version }: Departure): void {
-    const known = this.#gone.get(host)?.version
-    const latest = known === undefined ? version : Math.max(known, version ?? known)
-    this.#gone.set(host, { goneAtMs, version: latest })
+    const knownVersion = this.#departures.get(host)?.version
+    const latestVersion = knownVersion === undefined ? version : Math.max(knownVersion, version ?? knownVersion)
+    this.#departures.set(host, { goneAtMs, version: latestVersion })
   }
 
-  /** The departure of a host; undefined where it has returned since, or none is known. */
-  of (host: HostId): Departure | undefined { return this.#gone.get(host) }
+  /** Returns the departure of a host; undefined if none is known or the host has returned. */
+  of (host: HostId): Departure | undefined { return this.#departures.get(host) }
 
-  /** A host that was said to be gone shows that it lives. */
+  /** Records that a host reported as gone is live. */
   returned (host: HostId, now: number): void {
     this.#returnedAtMs.set(host, now)
-    this.#gone.delete(host)
+    this.#departures.delete(host)
   }
 
-  /** Forgets hosts of long ago that no list shows. */
+  /** Removes expired records of hosts that are not listed. */
   forget (now: number, isListed: (host: HostId) => boolean): void {
-    for (const [host, { goneAtMs }] of this.#gone) if (now > goneAtMs + FORGOTTEN_MS && !isListed(host)) this.#gone.delete(host)
-    for (const [host, atMs] of this.#returnedAtMs) if (now > atMs + RUMOUR_MS) this.#returnedAtMs.delete(host)
-    for (const host of this.#written.keys()) if (!isListed(host) && !this.#gone.has(host)) this.#written.delete(host)
+    for (const [host, { goneAtMs }] of this.#departures) if (now > goneAtMs + RETENTION_MS && !isListed(host)) this.#departures.delete(host)
+    for (const [host, atMs] of this.#returnedAtMs) if (now > atMs + GOSSIP_MS) this.#returnedAtMs.delete(host)
+    for (const host of this.#liveEntryVersions.keys()) if (!isListed(host) && !this.#departures.has(host)) this.#liveEntryVersions.delete(host)
   }
 }
--- a/core/registry/lapsed_entries.ts
+++ b/core/registry/lapsed_entries.ts
@@ -1,139 +1,141 @@
-/** Entries that vanish from a registry because it was away, and not because the endpoints behind them left. */
+/** Detects registry entries that expired because the registry was unavailable rather than because their endpoints left. */
 
-/** One entry as an answer of the registry tells of it. */
+/** State of one entry in a registry snapshot. */
 export interface EntryState {
-  /** Version at which it was last written. */
+  /** Registry version at which the entry was last written. */
   version: number
-  /** It says itself that its endpoint leaves, or names none: nobody waits for its return. */
+  /** True if the entry says that its endpoint is leaving, or names no endpoint. Such an entry is not expected to return. */
   leaving: boolean
 }
 
-/** An answer of the registry: all entries that it has. */
-export interface RegistryAnswer {
+/** All entries of the registry at one version. */
+export interface RegistrySnapshot {
   entries: ReadonlyMap<string, EntryState>
-  /** Version of the registry up to which it tells. */
+  /** Registry version of the snapshot. */
   version: number
-  /** True for the first answer after a call that failed. */
+  /** True for the first snapshot after a failed call. */
   afterFailure: boolean
-  /** Milliseconds on the steady clock. */
+  /** Time of the snapshot in milliseconds on the steady clock. */
   now: number
 }
 
-/** What an answer means for entries that are not there, by name. */
+/** Classification of missing and returned entries, by name. */
 export interface VanishedEntries {
-  /** Kept for now, and why. */
+  /** Entries newly held because they may have expired in an outage. */
   held: string[]
+  /** Why an outage is suspected. */
   why: string
-  /** Held before, and written anew. */
+  /** Held entries that were written again. */
   back: string[]
-  /** Their endpoints have left. */
+  /** Entries whose endpoints have left. */
   gone: string[]
 }
 
 /** Options of {@linkcode LapsedEntries}. */
 export interface LapsedEntriesOptions {
-  /** An endpoint renews its entry about this often, in milliseconds. Default 1,200. */
+  /** Interval at which an endpoint renews its entry, in milliseconds. Default 1,200. */
   renewEveryMs?: number
-  /** An endpoint that left may get new work for this long, in milliseconds. Default 2,000. */
+  /** Time in which an endpoint that left may still get new work, in milliseconds. Default 2,000. */
   leavingMs?: number
 }
 
 const DEFAULT_RENEW_EVERY_MS = 1200
 const DEFAULT_LEAVING_MS = 2000
 
-/** How long after the registry's return an entry that lapsed may take to come back, in milliseconds: about two seconds are promised. */
-const BACK_MS = 2500
-/** Part of the time after leaving that entries are held: the rest is for news and work on their way. */
-const HELD_PART = 0.9
-/** Renewals that fail before an entry can lapse: after three in a row it does, and the first may have been due just when the registry went. */
-const RENEWALS_MISSED = 2
-/** Part of the endpoints that do not vanish at once while they live: a failure domain of two or three goes with notices, a crash takes fewer. */
-const MASS_PART = 0.5
-/** Fewer that vanish at once say nothing. */
-const LEAST_MASS = 3
+/** Maximum time that entries are held after the registry returns, in milliseconds. Endpoints renew lapsed entries within about two seconds. */
+const MAX_HOLD_MS = 2500
+/** Fraction of `leavingMs` for which entries are held. The rest covers updates and requests in transit. */
+const HOLD_FRACTION = 0.9
+/** Renewals missed before an entry can lapse. It lapses after three in a row, and the first may have been due just when the registry became unavailable. */
+const MIN_MISSED_RENEWALS = 2
+/** Fraction of entries whose simultaneous loss indicates an outage. A failure domain out of two or three leaves with notices, and a crash takes fewer endpoints. */
+const MASS_LOSS_FRACTION = 0.5
+/** Minimum number of entries lost at once that indicates an outage. */
+const MIN_MASS_LOSS = 3
 
 /**
- * Holds back the news that endpoints have left while the registry may have lost entries of living ones.
+ * Holds missing entries for a limited time if the registry may have lost them while their endpoints are live.
  *
- * Guards against an outage of the registry that outlasts entries: on its return all of them are missing, and without this every caller is turned away
- * until they are written anew. A watch that hung all the while tells of no outage, but of most entries at once. What does die meanwhile shows by its silence.
+ * When the registry is unavailable for longer than entries last, all of them are missing when it returns. Without the hold, every caller would be turned away
+ * until the endpoints have written their entries again. A watch that hung during the outage reports no failure, but the loss of most entries at once.
+ * Endpoints that do die during the hold are detected because they do not respond.
  *
- * Only what the outage itself can have taken is held: most entries lapsed with it, the entry was not written since, and the hold begins with the return and ends at a fixed time,
- * whatever comes back or goes meanwhile. It never outlasts the time in which a leaving endpoint may get new work.
+ * Only entries that the outage itself can have removed are held: most entries lapsed in it, and the entry was not written since. The hold starts when the
+ * registry returns and ends at a fixed time, whichever entries return or leave in between. It never exceeds the time in which a leaving endpoint may get new work.
  */
 export class LapsedEntries {
   readonly #options: LapsedEntriesOptions
-  /** Entries there at the last answer. */
+  /** Entries of the last snapshot. */
   #present: ReadonlyMap<string, EntryState> = new Map()
-  /** Entries that are held, and until when. */
+  /** Held entries and the time until which each is held. */
   readonly #held = new Map<string, number>()
-  #answer = { version: 0, atMs: -Infinity }
-  /** The last outage that is suspected: entries written after `sinceVersion` outlived it. */
+  #lastSnapshot = { version: 0, atMs: -Infinity }
+  /** Last suspected outage. Entries written after `sinceVersion` were not affected by it. */
   #outage = { why: 'none', sinceVersion: 0, untilMs: -Infinity }
 
   constructor (options: LapsedEntriesOptions = {}) {
     this.#options = options
   }
 
-  /** Takes in an answer. */
-  take (answer: RegistryAnswer): VanishedEntries {
-    const { entries, now } = answer
+  /** Processes a snapshot and classifies the entries that are missing from it or have returned. */
+  take (snapshot: RegistrySnapshot): VanishedEntries {
+    const { entries, now } = snapshot
     const missing = [...this.#present].filter(([name]) => !entries.has(name))
-    const staying = missing.filter(([, { leaving }]) => !leaving)
-    this.#suspect(answer, staying.length)
+    const unexpectedlyMissing = missing.filter(([, { leaving }]) => !leaving)
+    this.#detectOutage(snapshot, unexpectedlyMissing.length)
     const back = this.held.filter((name) => entries.has(name))
     for (const name of back) this.#held.delete(name)
-    const overdue = this.overdue(now)
-    const held = staying.filter(([, entry]) => this.#mayHaveLapsed(entry, now)).map(([name]) => name)
+    const expired = this.overdue(now)
+    const held = unexpectedlyMissing.filter(([, entry]) => this.#mayHaveLapsed(entry, now)).map(([name]) => name)
     for (const name of held) this.#held.set(name, this.#outage.untilMs)
     this.#present = entries
-    this.#answer = { version: answer.version, atMs: now }
-    const left = missing.map(([name]) => name).filter((name) => !this.#held.has(name))
-    return { held, why: this.#outage.why, back, gone: [...overdue, ...left] }
+    this.#lastSnapshot = { version: snapshot.version, atMs: now }
+    const departed = missing.map(([name]) => name).filter((name) => !this.#held.has(name))
+    return { held, why: this.#outage.why, back, gone: [...expired, ...departed] }
   }
 
-  /** Names of those that are held. */
+  /** Names of the held entries. */
   get held (): string[] { return [...this.#held.keys()] }
 
-  /** When the first of them is given up, in milliseconds on the steady clock; undefined while none is held. */
+  /** When the first held entry expires, in milliseconds on the steady clock; undefined if none is held. */
   get untilMs (): number | undefined {
     return this.#held.size > 0 ? Math.min(...this.#held.values()) : undefined
   }
 
-  /** Forgets and returns the names of those that are not back in time. */
+  /** Stops holding the entries that did not return in time and returns their names. */
   overdue (now: number): string[] {
-    const gone = this.held.filter((name) => this.#held.get(name)! <= now)
-    for (const name of gone) this.#held.delete(name)
-    return gone
+    const expired = this.held.filter((name) => this.#held.get(name)! <= now)
+    for (const name of expired) this.#held.delete(name)
+    return expired
   }
 
-  #suspect (answer: RegistryAnswer, vanished: number): void {
-    const { version, atMs } = this.#answer
-    const unansweredMs = answer.now - atMs
-    const wasAway = answer.afterFailure && unansweredMs >= RENEWALS_MISSED * (this.#options.renewEveryMs ?? DEFAULT_RENEW_EVERY_MS) && this.#mostLapsed(answer.entries)
-    const mass = this.#isMass(vanished)
-    if (!wasAway && !mass) return
-    const untilMs = answer.now + Math.min(BACK_MS, HELD_PART * (this.#options.leavingMs ?? DEFAULT_LEAVING_MS))
-    this.#outage = { why: mass ? 'most entries vanished' : 'calls had failed', sinceVersion: version, untilMs }
-    // Nobody could write while the registry was away: those that were held before it went again have as long as the others.
-    if (wasAway) for (const name of this.#held.keys()) this.#held.set(name, untilMs)
+  #detectOutage (snapshot: RegistrySnapshot, missingCount: number): void {
+    const { version, atMs } = this.#lastSnapshot
+    const sinceLastSnapshotMs = snapshot.now - atMs
+    const wasUnavailable = snapshot.afterFailure && sinceLastSnapshotMs >= MIN_MISSED_RENEWALS * (this.#options.renewEveryMs ?? DEFAULT_RENEW_EVERY_MS) && this.#mostLapsed(snapshot.entries)
+    const isMassLoss = this.#isMassLoss(missingCount)
+    if (!wasUnavailable && !isMassLoss) return
+    const untilMs = snapshot.now + Math.min(MAX_HOLD_MS, HOLD_FRACTION * (this.#options.leavingMs ?? DEFAULT_LEAVING_MS))
+    this.#outage = { why: isMassLoss ? 'most entries vanished' : 'calls had failed', sinceVersion: version, untilMs }
+    // Nothing could be written during the outage, so entries held since before it get the same time as the others.
+    if (wasUnavailable) for (const name of this.#held.keys()) this.#held.set(name, untilMs)
   }
 
-  #isMass (vanished: number): boolean {
-    return vanished >= LEAST_MASS && vanished >= this.#staying.length * MASS_PART
+  #isMassLoss (missingCount: number): boolean {
+    return missingCount >= MIN_MASS_LOSS && missingCount >= this.#activeEntries.length * MASS_LOSS_FRACTION
   }
 
-  /** Outages take most entries or none; where most are as they were, only the connection was lost. */
-  #mostLapsed (entries: RegistryAnswer['entries']): boolean {
-    const lapsed = this.#staying.filter(([name, { version }]) => entries.get(name)?.version !== version)
-    return lapsed.length > this.#staying.length * MASS_PART || this.#staying.length === 0
+  /** An outage removes most entries or none. If most are unchanged, only the connection was lost. */
+  #mostLapsed (entries: RegistrySnapshot['entries']): boolean {
+    const lapsed = this.#activeEntries.filter(([name, { version }]) => entries.get(name)?.version !== version)
+    return lapsed.length > this.#activeEntries.length * MASS_LOSS_FRACTION || this.#activeEntries.length === 0
   }
 
-  get #staying (): Array<[string, EntryState]> {
+  get #activeEntries (): Array<[string, EntryState]> {
     return [...this.#present].filter(([, { leaving }]) => !leaving)
   }
 
-  /** An entry that was written since the outage shows that its endpoint reached the registry: if it goes after that, its endpoint left. */
+  /** An entry written after the outage shows that its endpoint reached the registry. If it is missing later, the endpoint has left. */
   #mayHaveLapsed (entry: EntryState, now: number): boolean {
     return now < this.#outage.untilMs && entry.version <= this.#outage.sinceVersion
   }
--- a/core/registry/newest_starts.ts
+++ b/core/registry/newest_starts.ts
@@ -1,26 +1,26 @@
-/** Tells which start of an endpoint is the newest: lists and peers may tell of an older one. */
+/** Tracks the latest start of each endpoint, since lists and peers may report an older one. */
 
-/** How long the start of an endpoint that no list names is remembered, in milliseconds. */
-const FORGOTTEN_MS = 600_000
+/** How long the start of an endpoint that is no longer listed is kept, in milliseconds. */
+const RETENTION_MS = 600_000
 
-/** A start against the newest that was known before. */
+/** Order of a start relative to the latest one known before. */
 export type StartOrder = 'first' | 'same' | 'later' | 'earlier'
 
-/** The newest start known of each endpoint, by its name. */
+/** Latest known start of each endpoint, by endpoint name. */
 export class NewestStarts {
-  readonly #newest = new Map<string, { startedAtMs: number, listedAtMs: number }>()
+  readonly #latest = new Map<string, { startedAtMs: number, listedAtMs: number }>()
 
-  /** Notes that a list names a start. All times in milliseconds; `startedAtMs` by the endpoint's clock. */
+  /** Records a listed start and returns its order. All times are in milliseconds; `startedAtMs` is on the endpoint's clock. */
   listed (name: string, startedAtMs: number, now: number): StartOrder {
-    const known = this.#newest.get(name)
+    const known = this.#latest.get(name)
     if (known && startedAtMs < known.startedAtMs) return 'earlier'
-    this.#newest.set(name, { startedAtMs, listedAtMs: now })
+    this.#latest.set(name, { startedAtMs, listedAtMs: now })
     if (!known) return 'first'
     return startedAtMs > known.startedAtMs ? 'later' : 'same'
   }
 
-  /** Forgets endpoints that were not listed for long. */
+  /** Removes endpoints that have not been listed for {@linkcode RETENTION_MS}. */
   forget (now: number): void {
-    for (const [name, { listedAtMs }] of this.#newest) if (now > listedAtMs + FORGOTTEN_MS) this.#newest.delete(name)
+    for (const [name, { listedAtMs }] of this.#latest) if (now > listedAtMs + RETENTION_MS) this.#latest.delete(name)
   }
 }
--- a/core/registry/newest_starts_test.ts
+++ b/core/registry/newest_starts_test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest'
 import { NewestStarts } from './newest_starts.ts'
 
-test('a list may name a start again, a later one, or one of before', () => {
+test('a list may show the same start, a later one or an earlier one', () => {
   const starts = new NewestStarts()
   expect([starts.listed('e', 100, 0), starts.listed('e', 100, 1), starts.listed('e', 200, 2), starts.listed('e', 100, 3), starts.listed('other', 50, 3)]).toEqual(['first', 'same', 'later', 'earlier', 'first'])
 })
 
-test('a start that is not listed for long is forgotten', () => {
+test('a start that is no longer listed expires', () => {
   const starts = new NewestStarts()
   starts.listed('e', 200, 0)
   starts.forget(600_000)
