--- a/core/relay/news_sources_test.ts
+++ b/core/relay/news_sources_test.ts
@@ -18,8 +18,9 @@
   }))
 }
 
-test('two daemons watch the store at every size, and nobody is asked by more than three dozen', () => {
-  // Every daemon watches for itself: each change of one endpoint costs as many calls as there are daemons, and the store's rates or its price bind first.
+test('two daemons watch the store in fleets of any size, and none is asked by more than 36 others', () => {
+  // Guards against every daemon watching the store: each change of one endpoint would cost one call per daemon, and the rate limit or price of the store would
+  // be reached first.
   for (const [daemons, domains] of [[1, 1], [2, 1], [9, 3], [24, 5], [87, 4], [195, 5], [300, 5], [420, 8]] as const) {
     const members = fleet(daemons, domains)
     const sources = members.map((self) => newsSources(self, members, { hash }))
@@ -30,8 +31,9 @@
   }
 })
 
-test('the daemons that watch are of two failure domains', () => {
-  // One domain loses its way to the store: if both watchers stood there, nobody would hear of an endpoint that leaves until each daemon had asked for itself.
+test('the watching daemons are in two different failure domains', () => {
+  // Guards against both watchers being in a domain that loses its connection to the store: no daemon would learn of a leaving endpoint until each asked the
+  // store itself.
   for (let size = 2; size < 60; size++) {
     const members = fleet(size, 3)
     const watchers = members.filter((self) => newsSources(self, members, { hash }).length === 0)
@@ -39,7 +41,7 @@
   }
 })
 
-test('in a large fleet daemons ask within their failure domain, and only those asked there ask the watchers', () => {
+test('in a large fleet daemons ask relays in their failure domain, and only relays ask the watchers', () => {
   const members = fleet(195, 5)
   const watchers = members.filter((self) => newsSources(self, members, { hash }).length === 0).map(({ id }) => id)
   const askers = members.filter((self) => watchers.includes(newsSources(self, members, { hash })[0]?.id as DaemonId))
@@ -50,7 +52,7 @@
   }
 })
 
-test('when a daemon that is asked goes, the others find the next one without a word', () => {
+test('when a source leaves, the others select the next one without communication', () => {
   const members = fleet(40, 2)
   const [first, second] = newsSources(members[7]!, members, { hash })
   expect(second).toBeDefined()
