--- a/core/outcome/outcome.ts
+++ b/core/outcome/outcome.ts
@@ -1,9 +1,14 @@
+/** Outcomes of requests, and the certainty that each kind of failed attempt leaves. */
 import type { WholeAnswer } from '../answer/index.ts'
 
-/** What a caller is told about a request; the three are never mixed. */
+/**
+ * Final result of a request as reported to its caller.
+ *
+ * `not-run` is a guarantee that no endpoint started the request; `unknown` means that it may have run.
+ */
 export type Outcome = 'answered' | 'not-run' | 'unknown'
 
-/** Where an attempt was when it failed. */
+/** Stage or reason at which an attempt failed. */
 export type FailurePoint =
   | 'before-send'
   | 'connect-refused'
@@ -18,7 +23,7 @@
   | 'torn-answer'
   | 'foreign-answer'
 
-const OUTCOME_AT: Record<FailurePoint, Exclude<Outcome, 'answered'>> = {
+const OUTCOME_BY_POINT: Record<FailurePoint, Exclude<Outcome, 'answered'>> = {
   'before-send': 'not-run',
   'connect-refused': 'not-run',
   'connect-timeout': 'not-run',
@@ -33,41 +38,41 @@
   'foreign-answer': 'unknown'
 }
 
-/** All failure points, for tables and tests. */
-export const FAILURE_POINTS = Object.keys(OUTCOME_AT) as FailurePoint[]
+/** All failure points. */
+export const FAILURE_POINTS = Object.keys(OUTCOME_BY_POINT) as FailurePoint[]
 
 /**
- * Tells what is certain about an attempt that failed.
+ * Returns what is certain about an attempt that failed at a given point.
  *
- * A keep-alive socket that closes under a fresh write is `unknown`: the bytes may have been read before the close.
+ * A keep-alive connection that closes during a write is `unknown`: the endpoint may have read the bytes before the close.
  * @example `outcomeAt('reset-after-send')` gives `unknown`.
  */
 export function outcomeAt (point: FailurePoint): Exclude<Outcome, 'answered'> {
-  return OUTCOME_AT[point]
+  return OUTCOME_BY_POINT[point]
 }
 
-/** True when bytes of the request reached an endpoint, or may have. */
+/** Returns true if the endpoint received, or may have received, part of the request. */
 export function reachedEndpoint (point: FailurePoint): boolean {
   return point !== 'before-send' && point !== 'connect-refused' && point !== 'connect-timeout'
 }
 
-/** True when the endpoint itself said that the attempt failed: it lives. */
+/** Returns true if the endpoint itself reported the failure, which shows that it is alive. */
 export function isOwnWord (point: FailurePoint): boolean {
   return point === 'endpoint-said-not-run' || point === 'endpoint-leaving' || point === 'endpoint-error'
 }
 
-/** True when the endpoint broke the attempt off without a word, as one does that crashes. */
+/** Returns true if the connection ended in the middle of the attempt without an error response, as it does when the endpoint crashes. */
 export function isBrokenOff (point: FailurePoint): boolean {
   return point === 'reset-after-send' || point === 'torn-answer'
 }
 
-/** An attempt at an endpoint failed at a known point. Raised by the endpoint adapters. */
+/** An attempt failed at a known point. Thrown by the endpoint adapters. */
 export class AttemptError extends Error {
   override name = 'AttemptError'
   readonly point: FailurePoint
-  /** Milliseconds after which the endpoint asked to be tried again, when it said so. */
+  /** Delay in milliseconds that the endpoint asked for before a retry; undefined if it gave none. */
   readonly retryAfterMs: number | undefined
-  /** The endpoint's own failure answer, which its caller is given when nothing better comes. */
+  /** The endpoint's error response, passed to the caller if no other attempt succeeds. */
   readonly answer: WholeAnswer | undefined
 
   constructor (what: string, options: { point: FailurePoint, retryAfterMs?: number, answer?: WholeAnswer, cause?: unknown }) {
@@ -77,7 +82,7 @@
     this.answer = options.answer
   }
 
-  /** What is certain about the attempt. */
+  /** Outcome that the failure point implies for this attempt. */
   get outcome (): Exclude<Outcome, 'answered'> {
     return outcomeAt(this.point)
   }
--- a/core/request/lifecycle.ts
+++ b/core/request/lifecycle.ts
@@ -1,43 +1,46 @@
-/** Life of one request as a pure state machine: (state, message, now) to (state, effects). */
+/** Lifecycle of a request as a pure state machine: (state, message, now) to (state, effects). */
 import type { EndpointId, RequestId } from '../ids/index.ts'
 import { outcomeAt, reachedEndpoint, type FailurePoint, type Outcome } from '../outcome/index.ts'
 
-/** How an attempt begins at an endpoint. */
+/** How an attempt starts: from the beginning, by prefilling the pieces already delivered, or by importing the KV cache. */
 export type StartMode = 'fresh' | 'prefill' | 'import'
 
-/** What of its class and caller decides a request's handling. */
+/** Properties of a request, from its class and its caller, that determine how it is handled. */
 export interface RequestTraits {
   id: RequestId
   idempotent: boolean
-  /** Model streams can be moved between endpoints; plain-service calls cannot. */
+  /** True for model streams, which can be moved between endpoints; false for plain-service calls. */
   movable: boolean
   cancelOnLeave: boolean
-  /** True when a claim must be written before the first attempt. */
+  /** True if a claim on the idempotency key must be stored before the first attempt. */
   claims: boolean
-  /** Endpoints that the request may be sent to, the first included. */
+  /** Maximum number of endpoints that the request may be sent to, including the first. */
   maxAttempts: number
   /** Milliseconds on the daemon's clock. */
   deadlineAtMs: number
 }
 
+/** Phase of a request; `done` is final. */
 export type Phase = 'claiming' | 'placing' | 'running' | 'stopping' | 'done'
 
-/** Everything that decides what happens next to a request. */
+/** State of one request. */
 export interface RequestState {
   readonly traits: RequestTraits
   readonly phase: Phase
   readonly attempt: number
-  /** Attempts that reached an endpoint, or may have. */
+  /** Number of attempts that reached, or may have reached, an endpoint. */
   readonly sent: number
   readonly endpoint: EndpointId | undefined
-  /** True once an attempt may have run; from then on the request is never told `not-run`. */
+  /** True once an attempt may have run; the outcome can then no longer be `not-run`. */
   readonly mayHaveRun: boolean
+  /** Endpoints of earlier attempts, which placement should avoid. */
   readonly avoid: readonly EndpointId[]
-  /** Where the request goes once the endpoint confirms the stop. */
+  /** Target of a move that waits for the old endpoint to confirm the stop; undefined if the request is to be placed again. */
   readonly next: { endpoint: EndpointId, mode: StartMode } | undefined
   readonly outcome: Outcome | undefined
 }
 
+/** Input of {@linkcode step}. */
 export type RequestMessage =
   | { type: 'begin' }
   | { type: 'claimed' }
@@ -54,6 +57,7 @@
   | { type: 'caller-left' }
   | { type: 'cancelled' }
 
+/** Action that the daemon has to carry out. */
 export type RequestEffect =
   | { type: 'claim' }
   | { type: 'place', avoid: readonly EndpointId[] }
@@ -61,10 +65,10 @@
   | { type: 'stop', endpoint: EndpointId, attempt: number }
   | { type: 'finish', outcome: Outcome, reason: string, retryAfterMs: number | undefined }
 
-/** A new state and what the daemon has to do for it. */
+/** Result of {@linkcode step}: the new state and the effects to carry out. */
 export interface Step { state: RequestState, effects: RequestEffect[] }
 
-/** Builds the state of a request that was just accepted. */
+/** Returns the initial state of an accepted request. */
 export function newRequest (traits: RequestTraits): RequestState {
   return { traits, phase: 'placing', attempt: 0, sent: 0, endpoint: undefined, mayHaveRun: false, avoid: [], next: undefined, outcome: undefined }
 }
@@ -73,7 +77,7 @@
  * Advances a request by one message.
  * @param now Milliseconds on the daemon's clock.
  * @returns The new state and the effects to carry out, in order.
- * @example `step(newRequest(traits), { type: 'begin' }, 0).effects` asks to claim or to place.
+ * @example `step(newRequest(traits), { type: 'begin' }, 0).effects` contains a `claim` or a `place` effect.
  */
 export function step (state: RequestState, msg: RequestMessage, now: number): Step {
   if (state.phase === 'done') return { state, effects: [] }
@@ -82,16 +86,16 @@
     case 'claimed': return place(state, now)
     case 'claim-failed': return finish(state, msg.outcome, msg.reason, msg.retryAfterMs)
     case 'placed': return start(state, msg.endpoint, 'fresh')
-    case 'refused': return finish(state, notRunOrUnknown(state), msg.reason, msg.retryAfterMs)
-    case 'ended': return msg.attempt === state.attempt ? finish(state, 'answered', 'whole') : same(state)
+    case 'refused': return finish(state, failureOutcome(state), msg.reason, msg.retryAfterMs)
+    case 'ended': return msg.attempt === state.attempt ? finish(state, 'answered', 'whole') : unchanged(state)
     case 'failed': return failed(state, msg, now)
     case 'move': return move(state, msg)
     case 'stopped': return stopped(state, msg, now)
     case 'hold': return hold(state)
-    case 'quarantined': return giveUp(state, msg.reason, msg.retryAfterMs)
-    case 'deadline': return giveUp(state, 'deadline passed')
-    case 'cancelled': return giveUp(state, 'cancelled by the caller')
-    case 'caller-left': return state.traits.cancelOnLeave ? giveUp(state, 'caller left') : same(state)
+    case 'quarantined': return abort(state, msg.reason, msg.retryAfterMs)
+    case 'deadline': return abort(state, 'deadline passed')
+    case 'cancelled': return abort(state, 'cancelled by the caller')
+    case 'caller-left': return state.traits.cancelOnLeave ? abort(state, 'caller left') : unchanged(state)
   }
 }
 
@@ -101,74 +105,74 @@
 }
 
 function place (state: RequestState, now: number): Step {
-  if (now >= state.traits.deadlineAtMs) return giveUp(state, 'deadline passed')
+  if (now >= state.traits.deadlineAtMs) return abort(state, 'deadline passed')
   return { state: { ...state, phase: 'placing', endpoint: undefined, next: undefined }, effects: [{ type: 'place', avoid: state.avoid }] }
 }
 
 function start (state: RequestState, endpoint: EndpointId, mode: StartMode): Step {
-  if (state.phase === 'running') return same(state)
+  if (state.phase === 'running') return unchanged(state)
   const attempt = state.attempt + 1
   const next: RequestState = { ...state, phase: 'running', attempt, endpoint, next: undefined }
   return { state: next, effects: [{ type: 'start', endpoint, attempt, mode: state.mayHaveRun && mode === 'fresh' ? 'prefill' : mode }] }
 }
 
 function failed (state: RequestState, msg: Extract<RequestMessage, { type: 'failed' }>, now: number): Step {
-  if (msg.attempt !== state.attempt || state.phase !== 'running') return same(state)
+  if (msg.attempt !== state.attempt || state.phase !== 'running') return unchanged(state)
   const certainlyNotRun = outcomeAt(msg.point) === 'not-run'
-  const after: RequestState = {
+  const updated: RequestState = {
     ...state,
     sent: state.sent + (reachedEndpoint(msg.point) ? 1 : 0),
     mayHaveRun: state.mayHaveRun || !certainlyNotRun,
     avoid: state.endpoint === undefined ? state.avoid : [...state.avoid, state.endpoint]
   }
-  if (mayRepeat(state, msg.point) && msg.retryGranted) return place(after, now)
-  return finish(after, notRunOrUnknown(after), `endpoint failed: ${msg.point}`)
+  if (mayRepeat(state, msg.point) && msg.retryGranted) return place(updated, now)
+  return finish(updated, failureOutcome(updated), `endpoint failed: ${msg.point}`)
 }
 
 /**
- * Tells whether a request whose running attempt failed may be sent to another endpoint, if the retry budget grants it.
+ * Returns true if a request whose running attempt failed may be retried at another endpoint, subject to the retry budget.
  *
- * Running a non-idempotent request again after an unsure attempt could send a letter twice; certainty is the only licence.
+ * A non-idempotent request is retried only if the failed attempt certainly did not run; otherwise it could be executed twice.
  */
 export function mayRepeat (state: RequestState, point: FailurePoint): boolean {
   const sent = state.sent + (reachedEndpoint(point) ? 1 : 0)
   return sent < state.traits.maxAttempts && (outcomeAt(point) === 'not-run' || state.traits.idempotent)
 }
 
-/** Tells whether a running stream may go on at one endpoint more, which counts as one of those that it is sent to. */
+/** Returns true if a running stream may continue at another endpoint; the target counts towards `maxAttempts`. */
 export function mayMove (state: RequestState): boolean {
   return state.phase === 'running' && state.traits.movable && state.sent + 2 <= state.traits.maxAttempts
 }
 
 function move (state: RequestState, msg: Extract<RequestMessage, { type: 'move' }>): Step {
-  if (state.phase !== 'running' || !state.traits.movable || state.endpoint === undefined) return same(state)
+  if (state.phase !== 'running' || !state.traits.movable || state.endpoint === undefined) return unchanged(state)
   const stop: RequestEffect = { type: 'stop', endpoint: state.endpoint, attempt: state.attempt }
   const moved: RequestState = { ...state, sent: state.sent + 1, mayHaveRun: true, avoid: [...state.avoid, state.endpoint] }
   if (state.traits.idempotent || msg.mode === 'import') {
     const started = start({ ...moved, phase: 'placing' }, msg.endpoint, msg.mode)
     return { state: started.state, effects: [stop, ...started.effects] }
   }
-  // Two endpoints writing one letter would be two executions: the next attempt waits for the stop to be confirmed.
+  // Two endpoints running a non-idempotent request would be two executions: the next attempt waits until the stop is confirmed.
   return { state: { ...moved, phase: 'stopping', next: { endpoint: msg.endpoint, mode: msg.mode } }, effects: [stop] }
 }
 
 function hold (state: RequestState): Step {
-  if (state.phase !== 'running' || !state.traits.movable || state.endpoint === undefined) return same(state)
+  if (state.phase !== 'running' || !state.traits.movable || state.endpoint === undefined) return unchanged(state)
   const stop: RequestEffect = { type: 'stop', endpoint: state.endpoint, attempt: state.attempt }
   return { state: { ...state, phase: 'stopping', sent: state.sent + 1, mayHaveRun: true, avoid: [...state.avoid, state.endpoint], next: undefined }, effects: [stop] }
 }
 
 function stopped (state: RequestState, msg: Extract<RequestMessage, { type: 'stopped' }>, now: number): Step {
-  if (state.phase !== 'stopping' || msg.attempt !== state.attempt) return same(state)
+  if (state.phase !== 'stopping' || msg.attempt !== state.attempt) return unchanged(state)
   if (!msg.confirmed && !state.traits.idempotent) return finish(state, 'unknown', 'stop was not confirmed')
   if (state.next === undefined) return place(state, now)
   return start(state, state.next.endpoint, state.next.mode)
 }
 
-function giveUp (state: RequestState, reason: string, retryAfterMs?: number): Step {
+function abort (state: RequestState, reason: string, retryAfterMs?: number): Step {
   const running = state.phase === 'running' && state.endpoint !== undefined
   const stop: RequestEffect[] = running ? [{ type: 'stop', endpoint: state.endpoint!, attempt: state.attempt }] : []
-  const end = finish({ ...state, mayHaveRun: state.mayHaveRun || running }, notRunOrUnknown({ ...state, mayHaveRun: state.mayHaveRun || running }), reason, retryAfterMs)
+  const end = finish({ ...state, mayHaveRun: state.mayHaveRun || running }, failureOutcome({ ...state, mayHaveRun: state.mayHaveRun || running }), reason, retryAfterMs)
   return { state: end.state, effects: [...stop, ...end.effects] }
 }
 
@@ -176,11 +180,11 @@
   return { state: { ...state, phase: 'done', outcome }, effects: [{ type: 'finish', outcome, reason, retryAfterMs }] }
 }
 
-/** A claim that may have been written counts for nothing here: a claim is not a run. */
-function notRunOrUnknown (state: RequestState): Exclude<Outcome, 'answered'> {
+/** Outcome of a request that was not answered. A claim that may have been stored does not matter here, since a claim is not a run. */
+function failureOutcome (state: RequestState): Exclude<Outcome, 'answered'> {
   return state.mayHaveRun ? 'unknown' : 'not-run'
 }
 
-function same (state: RequestState): Step {
+function unchanged (state: RequestState): Step {
   return { state, effects: [] }
 }
--- a/core/request/lifecycle_test.ts
+++ b/core/request/lifecycle_test.ts
@@ -20,8 +20,8 @@
 
 const RUNNING: RequestMessage[] = [{ type: 'begin' }, { type: 'placed', endpoint: A }]
 
-// The truth of "not run": one row for every point at which a non-idempotent request can fail.
-test.each(FAILURE_POINTS)('a non-idempotent request that fails at %s is told the truth and runs again only when it certainly did not run', (point) => {
+// One case for each point at which a non-idempotent request can fail.
+test.each(FAILURE_POINTS)('a non-idempotent request that fails at %s is retried only if it certainly did not run', (point) => {
   const { state, effects } = run({}, [...RUNNING, { type: 'failed', attempt: 1, point, retryGranted: true }])
   const certain = outcomeAt(point) === 'not-run'
   expect(effects.at(-1)).toMatchObject(certain ? { type: 'place', avoid: [A] } : { type: 'finish', outcome: 'unknown' })
@@ -30,7 +30,7 @@
   expect(state.mayHaveRun).toBe(!certain)
 })
 
-test('an attempt that may have run makes every later refusal unknown', () => {
+test('after an attempt that may have run, a later refusal has the outcome unknown', () => {
   const { state } = run({ idempotent: true }, [
     ...RUNNING,
     { type: 'failed', attempt: 1, point: 'reset-after-send', retryGranted: true },
@@ -41,9 +41,8 @@
   expect(state.outcome).toBe('unknown')
 })
 
-test('a letter that moves starts at its target only after the stop is confirmed', () => {
-  // A household gets two letters: the draft moves off a host that leaves, the order to stop is lost, and both hosts write it. The
-  // target must not start before the source confirmed.
+test('a non-idempotent stream that moves starts at its target only after the stop is confirmed', () => {
+  // Guards against double execution: if the stop message to the source is lost while the target already runs, both endpoints produce the answer.
   const moving = run({}, [...RUNNING, { type: 'move', endpoint: B, mode: 'prefill' }])
   expect(moving.effects.slice(2)).toEqual([{ type: 'stop', endpoint: A, attempt: 1 }])
   const confirmed = step(moving.state, { type: 'stopped', attempt: 1, confirmed: true }, 0)
@@ -52,7 +51,7 @@
   expect(lost.state.outcome).toBe('unknown')
 })
 
-test('a review moves at once, and its old attempt no longer counts', () => {
+test('an idempotent stream moves at once, and messages of its old attempt are ignored', () => {
   const moved = run({ idempotent: true }, [...RUNNING, { type: 'move', endpoint: B, mode: 'prefill' }, { type: 'ended', attempt: 1 }])
   expect(moved.state).toMatchObject({ phase: 'running', attempt: 2, endpoint: B })
   expect(step(moved.state, { type: 'ended', attempt: 2 }, 0).state.outcome).toBe('answered')
@@ -63,20 +62,20 @@
   expect(state).toMatchObject({ phase: 'running', endpoint: A })
 })
 
-test('the claim comes before the first attempt, and a claim that cannot be written runs nothing', () => {
+test('the claim precedes the first attempt, and if it cannot be stored nothing runs', () => {
   const { state, effects } = run({ claims: true }, [{ type: 'begin' }, { type: 'claim-failed', outcome: 'not-run', reason: 'store down' }, { type: 'placed', endpoint: A }])
   expect(effects.map((effect) => effect.type)).toEqual(['claim', 'finish'])
   expect(state.outcome).toBe('not-run')
 })
 
-test('after the deadline nothing starts, and what ran is stopped and unknown', () => {
+test('after the deadline nothing starts, and a running attempt is stopped with the outcome unknown', () => {
   expect(run({}, [{ type: 'begin' }, { type: 'deadline' }, { type: 'placed', endpoint: A }]).state.outcome).toBe('not-run')
   const running = run({}, [...RUNNING, { type: 'deadline' }])
   expect(running.state.outcome).toBe('unknown')
   expect(running.effects.at(-2)).toEqual({ type: 'stop', endpoint: A, attempt: 1 })
 })
 
-test('only a class that says so stops when its caller leaves', () => {
+test('a request stops when its caller disconnects only if its class has cancelOnLeave', () => {
   expect(run({}, [...RUNNING, { type: 'caller-left' }]).state.phase).toBe('running')
   expect(run({ cancelOnLeave: true }, [...RUNNING, { type: 'caller-left' }]).state.phase).toBe('done')
 })
--- a/core/request/overdue.ts
+++ b/core/request/overdue.ts
@@ -1,37 +1,38 @@
-/** When the next word of an attempt is overdue, by the rhythm that it and its pool have shown. */
+/** Detects stalled attempts from the pauses between pieces of an answer. */
 
-/** An attempt that runs, as its daemon saw it. All times in milliseconds on one clock. */
+/** Progress of a running attempt. All times are in milliseconds on the same clock. */
 export interface AttemptPulse {
   sentAtMs: number
-  /** Time to its first piece, as predicted; undefined where nobody predicted anything. */
+  /** Predicted time to the first piece; undefined if there is no prediction. */
   predictedMs: number | undefined
-  /** When its last piece came; undefined before the first. */
+  /** Arrival time of the last piece; undefined before the first piece. */
   pieceAtMs: number | undefined
-  /** Longest pause between its pieces so far. */
+  /** Longest pause between two pieces so far. */
   longestPauseMs: number | undefined
 }
 
 /** Options of {@linkcode overdueAtMs}. */
 export interface OverdueOptions {
-  /** Typical pause of the pool's streams; undefined where none was seen lately. */
+  /** Typical pause of the pool's streams; undefined if none was observed recently. */
   usualPauseMs: number | undefined
 }
 
-/** Longest pauses that a stream stays silent before it is suspect. A full batch makes pauses 1.4 times as long, a long prompt beside it 3 times. */
-const SUSPECT_PAUSES = 6
-/** Predictions of the first piece that pass before an attempt is suspect: 19 in 20 come within 2.1 of them, by their logs. */
-const SUSPECT_PREDICTIONS = 3
-/** Shorter silences say nothing: links that lose packets send them again after 200 to 400 ms. */
-const LEAST_SILENCE_MS = 500
+/** Silence after which a stream is overdue, in multiples of its longest pause. A full batch makes pauses 1.4 times as long, a long prompt in the same batch 3 times. */
+const OVERDUE_PAUSES = 6
+/** Time to the first piece after which an attempt is overdue, in multiples of the prediction. In the logs, 95% of first pieces arrived within 2.1 times the prediction. */
+const OVERDUE_PREDICTIONS = 3
+/** Minimum silence, in milliseconds. Shorter silences are not significant, since lost packets are retransmitted after 200 to 400 ms. */
+const MIN_SILENCE_MS = 500
 
 /**
- * Tells when an attempt is suspect if no word of it comes.
+ * Returns the time at which an attempt becomes overdue if no further piece arrives.
  *
- * Guards against an endpoint that went dark: its connections stay open, and each caller waits until it gives up. A stream that came each 130 ms is
- * suspect after 800 ms, long before the 2 to 2.4 s of its caller's patience.
+ * Guards against an endpoint that stops responding while its connections stay open, so that each caller would wait until its own timeout. A stream
+ * with a piece every 130 ms is overdue after about 800 ms, well before its caller gives up after 2 to 2.4 s.
+ * @returns Milliseconds on the clock of the attempt's times.
  */
 export function overdueAtMs (attempt: AttemptPulse, { usualPauseMs = 0 }: OverdueOptions): number {
-  if (attempt.pieceAtMs === undefined) return attempt.sentAtMs + LEAST_SILENCE_MS + SUSPECT_PREDICTIONS * (attempt.predictedMs ?? 0)
+  if (attempt.pieceAtMs === undefined) return attempt.sentAtMs + MIN_SILENCE_MS + OVERDUE_PREDICTIONS * (attempt.predictedMs ?? 0)
   const pauseMs = Math.max(usualPauseMs, attempt.longestPauseMs ?? 0)
-  return attempt.pieceAtMs + Math.max(LEAST_SILENCE_MS, SUSPECT_PAUSES * pauseMs)
+  return attempt.pieceAtMs + Math.max(MIN_SILENCE_MS, OVERDUE_PAUSES * pauseMs)
 }
