--- a/core/membership/derived.ts
+++ b/core/membership/derived.ts
@@ -1,19 +1,20 @@
-/** What is worked out from all members, kept until one of their records changes. */
+/** Cache of a value derived from the member table. */
 
 /**
- * One such value.
+ * Caches a value until the version of the member table changes.
  *
- * Daemons ask who does a shared job, and how many there are, several times a request and a second; worked out anew each time it costs as much as the fleet is large.
+ * Daemons look up the holder of a shared job and the number of members several times per request and per second; the cost of computing these values
+ * grows with the size of the fleet.
  * @example `ranked.get(membership.version, () => rankedFor('quotas', membership.members, hash))`
  */
 export class Derived<T> {
   #version: number | undefined
   #value: T | undefined
 
-  /** Gives the value for a version of the members, and works it out when they have changed. */
-  get (version: number, derive: () => T): T {
+  /** Returns the cached value if `version` is unchanged, and otherwise computes it. */
+  get (version: number, compute: () => T): T {
     if (version !== this.#version) {
-      this.#value = derive()
+      this.#value = compute()
       this.#version = version
     }
     return this.#value!
--- a/core/membership/detector.ts
+++ b/core/membership/detector.ts
@@ -1,23 +1,23 @@
-/** Decides from heartbeats when a neighbour is suspected. A suspicion is a hint for routing, never a right to act. */
+/** Failure detection from heartbeats. A suspicion is a hint for routing; it never authorizes a daemon to take over work. */
 
-/** Watches one neighbour's heartbeats. */
+/** Failure detector of one neighbour. Times are in milliseconds on the daemon's clock. */
 export interface Detector {
-  /** A heartbeat arrived. */
+  /** Records a heartbeat. */
   heard (now: number): void
-  /** True when the silence is too long. */
+  /** Returns true if the neighbour has been silent for too long. */
   suspects (now: number): boolean
 }
 
-/** Suspects after a fixed silence. */
+/** Suspects a neighbour after a fixed period of silence. */
 export class TimeoutDetector implements Detector {
   readonly #timeoutMs: number
-  #heardAtMs: number
+  #lastHeartbeatMs: number
 
   constructor (timeoutMs: number, now: number) {
     this.#timeoutMs = timeoutMs
-    this.#heardAtMs = now
+    this.#lastHeartbeatMs = now
   }
 
-  heard (now: number): void { this.#heardAtMs = now }
-  suspects (now: number): boolean { return now - this.#heardAtMs > this.#timeoutMs }
+  heard (now: number): void { this.#lastHeartbeatMs = now }
+  suspects (now: number): boolean { return now - this.#lastHeartbeatMs > this.#timeoutMs }
 }
--- a/core/membership/member.ts
+++ b/core/membership/member.ts
@@ -1,46 +1,46 @@
-/** What daemons tell each other of themselves, and which of two tellings holds. */
+/** Member records that daemons gossip, and the rule by which two versions of a record are merged. */
 import type { DaemonId, FailureDomain } from '../ids/index.ts'
 
-/** `suspect` and `gone` are said by others; the daemon itself refutes them with a higher incarnation. */
+/** State of a member. `suspect` and `gone` are set by other daemons; the member itself refutes them with a higher incarnation. */
 export type MemberState = 'up' | 'draining' | 'left' | 'suspect' | 'gone'
 
-/** One daemon, as it or its neighbours last described it. */
+/** Record of one daemon, as it or its neighbours last published it. */
 export interface Member {
   id: DaemonId
-  /** Grows whenever the daemon changes its own record. */
+  /** Incremented by the daemon itself with each change to its record. */
   incarnation: number
   state: MemberState
-  /** Where other daemons connect. */
+  /** Address that other daemons connect to. */
   address: string
   failureDomain: FailureDomain
-  /** Processor cores that its host gives it, as its settings say; one that does not say counts as 1. */
+  /** Processor cores available on its host, from its settings. Default 1. */
   cores?: number
-  /** Revision of the configuration in force there. */
+  /** Configuration revision in force at the daemon. */
   revision: number
-  /** Who holds its answers after it left. */
+  /** Daemon that holds its answers after it left. */
   heir: DaemonId | undefined
 }
 
-/** At one incarnation the worse state holds, since only the daemon itself can raise the incarnation. */
-const RANK: Record<MemberState, number> = { up: 0, draining: 1, suspect: 2, gone: 3, left: 4 }
+/** Precedence of states within one incarnation: the worse state wins, since only the daemon itself can raise the incarnation. */
+const STATE_PRECEDENCE: Record<MemberState, number> = { up: 0, draining: 1, suspect: 2, gone: 3, left: 4 }
 
 /**
- * Tells whether a record replaces the one known.
+ * Returns true if a received record replaces the known one.
  *
- * Rumours arrive late, twice and out of order; incarnation and rank order them, so every daemon ends with the same record.
+ * Gossip may arrive late, duplicated and out of order. Incarnation and state precedence order the records, so that all daemons converge on the same one.
  */
-export function replaces (arrived: Member, known: Member | undefined): boolean {
+export function supersedes (arrived: Member, known: Member | undefined): boolean {
   if (!known) return true
   if (arrived.incarnation !== known.incarnation) return arrived.incarnation > known.incarnation
-  return RANK[arrived.state] > RANK[known.state]
+  return STATE_PRECEDENCE[arrived.state] > STATE_PRECEDENCE[known.state]
 }
 
-/** True while a daemon takes new work. */
+/** Returns true while a daemon accepts new work. */
 export function takesWork (member: Member): boolean {
   return member.state === 'up'
 }
 
-/** True while a daemon can be asked for the answers it holds; suspicion is only a hint. */
+/** Returns true while a daemon can be asked for the answers that it holds. A suspect is included, since suspicion is only a hint. */
 export function mayAnswer (member: Member): boolean {
   return member.state === 'up' || member.state === 'draining' || member.state === 'suspect'
 }
--- a/core/membership/membership.ts
+++ b/core/membership/membership.ts
@@ -1,33 +1,33 @@
-/** Membership as a pure state machine: (message, now) to effects. Sockets and timers are in the daemon's task. */
+/** Gossip membership as a state machine without I/O: (message, now) to effects. Sockets and timers belong to the daemon's membership task. */
 import type { DaemonId, FailureDomain } from '../ids/index.ts'
 import type { Hash32 } from '../routing/subset.ts'
 import { TimeoutDetector, type Detector } from './detector.ts'
-import { mayAnswer, replaces, type Member, type MemberState } from './member.ts'
+import { mayAnswer, supersedes, type Member, type MemberState } from './member.ts'
 import { neighbours } from './overlay.ts'
 
-/** A fact that all daemons should know; the higher version of a key holds. */
+/** Key-value entry that is gossiped to all daemons; the highest version of a key wins. */
 export interface Fact {
-  /** Such as `config` or `leaving/ENDPOINT`. */
+  /** For example `config` or `leaving/ENDPOINT`. */
   key: string
   version: number
-  /** Small, any shape the key's owner gives it. */
+  /** Small value whose shape is defined by the owner of the key. */
   value: unknown
 }
 
-/** What neighbours send each other. */
+/** Message between neighbours. Without members, facts and digest it is a heartbeat. */
 export interface Gossip {
   members: Member[]
   facts: Fact[]
-  /** Digest of the sender's table, sent now and then; one that differs is answered with the whole table. */
+  /** Digest of the sender's table, sent periodically; a receiver with another digest replies with its whole table. */
   digest?: number
-  /** True when this is the whole table. */
+  /** True if the message contains the sender's whole table and asks for newer entries in return. */
   whole?: boolean
 }
 
-/** What the task has to do. */
+/** Action that the membership task has to carry out. */
 export type MembershipEffect =
   | { type: 'send', to: DaemonId, gossip: Gossip }
-  /** Keep links to these successors; predecessors dial. */
+  /** Maintain connections to these successors; predecessors connect to this daemon. */
   | { type: 'links', dial: Member[] }
   | { type: 'member', member: Member }
   | { type: 'fact', fact: Fact, from: DaemonId }
@@ -36,84 +36,85 @@
 export interface MembershipOptions {
   self: { id: DaemonId, address: string, failureDomain: FailureDomain, cores?: number }
   hash: Hash32
-  /** Milliseconds on the daemon's clock at the start. */
+  /** Start time in milliseconds on the daemon's clock. */
   now: number
-  /** Makes a detector for a neighbour. Default: a timeout of {@linkcode SUSPECT_AFTER_MS}. */
+  /** Creates the failure detector of a neighbour. Default: a timeout of {@linkcode SUSPECT_AFTER_MS}. */
   detector?: (now: number) => Detector
 }
 
-/** Between two heartbeats to a neighbour. */
+/** Interval between heartbeats to a neighbour, in milliseconds. */
 export const HEARTBEAT_MS = 1000
-/** Silence after which a neighbour is suspected. */
+/** Silence after which a neighbour is suspected, in milliseconds. */
 export const SUSPECT_AFTER_MS = 4000
-/** Time for a suspected daemon to refute. */
+/** Time that a suspected daemon has to refute the suspicion, in milliseconds. */
 export const GONE_AFTER_MS = 8000
-/** How long a daemon that left or is gone is remembered, so that a late rumour does not bring it back. */
-export const FORGET_AFTER_MS = 600_000
-/** How long a fact that is no configuration revision is kept. */
-export const FACT_KEPT_MS = 600_000
+/** How long the record of a departed daemon is kept, in milliseconds, so that late gossip does not resurrect it. */
+export const TOMBSTONE_TTL_MS = 600_000
+/** How long a fact is kept, in milliseconds. The configuration never expires. */
+export const FACT_TTL_MS = 600_000
 
-const DIGEST_EVERY = 10
+/** Ticks between two digests; the neighbours receive them in turn. */
+const DIGEST_EVERY_TICKS = 10
 
-interface Known { member: Member, sinceMs: number }
-interface KnownFact { fact: Fact, sinceMs: number }
+interface MemberEntry { member: Member, sinceMs: number }
+interface FactEntry { fact: Fact, sinceMs: number }
 
-/** One daemon's view of all daemons and of the facts they share. */
+/** One daemon's view of all members and of the gossiped facts. */
 export class Membership {
   readonly #options: MembershipOptions
-  readonly #members = new Map<DaemonId, Known>()
+  readonly #members = new Map<DaemonId, MemberEntry>()
   #version = 0
-  readonly #facts = new Map<string, KnownFact>()
+  readonly #facts = new Map<string, FactEntry>()
   readonly #detectors = new Map<DaemonId, Detector>()
   #successors: DaemonId[] = []
   #predecessors: DaemonId[] = []
   #ticks = 0
-  /** Grows whenever a daemon comes or goes: only then can the neighbours change. */
-  #alive = 0
-  /** What this daemon says of itself, whatever others say. */
-  #ownState: MemberState = 'up'
+  /** Incremented whenever a member becomes alive or stops being so; only then can the neighbours change. */
+  #livenessVersion = 0
+  /** State that this daemon declares for itself, regardless of what others gossip. */
+  #declaredState: MemberState = 'up'
 
   constructor (options: MembershipOptions) {
     this.#options = options
     const self: Member = { ...options.self, incarnation: 1, state: 'up', revision: 0, heir: undefined }
-    this.#put(self, options.now)
+    this.#setMember(self, options.now)
   }
 
   /** This daemon's own record. */
   get self (): Member { return this.#members.get(this.#options.self.id)!.member }
-  /** Grows with each change of any record. */
+  /** Incremented with each change of any record. */
   get version (): number { return this.#version }
-  /** Every daemon known, those that left included. */
+  /** All known daemons, including departed ones. */
   get members (): Member[] { return [...this.#members.values()].map(({ member }) => member) }
-  /** The daemons this one exchanges heartbeats with. */
+  /** The daemons that this one exchanges heartbeats with. */
   get neighbours (): DaemonId[] { return [...this.#successors, ...this.#predecessors] }
 
-  /** Looks up a daemon. */
+  /** Returns the record of a daemon, or undefined if it is not known. */
   member (id: DaemonId): Member | undefined { return this.#members.get(id)?.member }
-  /** Looks up a fact. */
+  /** Returns the fact with a key, or undefined if there is none. */
   fact (key: string): Fact | undefined { return this.#facts.get(key)?.fact }
 
-  /** Changes this daemon's own record and tells the neighbours. */
+  /** Updates this daemon's own record and gossips it. */
   setSelf (change: Partial<Pick<Member, 'state' | 'revision' | 'heir'>>, now: number): MembershipEffect[] {
-    this.#ownState = change.state ?? this.#ownState
-    const member: Member = { ...this.self, state: this.#ownState, ...change, incarnation: this.self.incarnation + 1 }
-    this.#put(member, now)
-    return [{ type: 'member', member }, ...this.#tell({ members: [member], facts: [] })]
+    this.#declaredState = change.state ?? this.#declaredState
+    const member: Member = { ...this.self, state: this.#declaredState, ...change, incarnation: this.self.incarnation + 1 }
+    this.#setMember(member, now)
+    return [{ type: 'member', member }, ...this.#broadcast({ members: [member], facts: [] })]
   }
 
-  /** Adds a fact of this daemon's own and tells the neighbours. */
+  /** Publishes a fact and gossips it. A version that is not newer is ignored. */
   setFact (fact: Fact, now: number): MembershipEffect[] {
-    if (!this.#learnFact(fact, now)) return []
-    return this.#tell({ members: [], facts: [fact] })
+    if (!this.#mergeFact(fact, now)) return []
+    return this.#broadcast({ members: [], facts: [fact] })
   }
 
-  /** Once every {@linkcode HEARTBEAT_MS}: heartbeats, suspicion, forgetting, and now and then a digest. */
+  /** Sends heartbeats and periodic digests, suspects silent neighbours and expires old entries. To be called every {@linkcode HEARTBEAT_MS}. */
   tick (now: number): MembershipEffect[] {
     this.#ticks++
-    const effects = this.#suspectSilent(now)
-    this.#forgetOld(now)
+    const effects = this.#suspectSilentMembers(now)
+    this.#expireEntries(now)
     const neighbours = this.neighbours
-    const digestTo = this.#ticks % DIGEST_EVERY === 0 ? neighbours[(this.#ticks / DIGEST_EVERY) % neighbours.length] : undefined
+    const digestTo = this.#ticks % DIGEST_EVERY_TICKS === 0 ? neighbours[(this.#ticks / DIGEST_EVERY_TICKS) % neighbours.length] : undefined
     for (const to of neighbours) {
       const gossip: Gossip = { members: [], facts: [], ...(to === digestTo && { digest: this.digest() }) }
       effects.push({ type: 'send', to, gossip })
@@ -121,110 +122,110 @@
     return effects
   }
 
-  /** The whole table, for a daemon that joins. */
-  table (): Gossip {
+  /** Returns the whole table; a joining daemon sends it to a known member, which replies with newer entries. */
+  snapshot (): Gossip {
     return { members: this.members, facts: [...this.#facts.values()].map(({ fact }) => fact), whole: true }
   }
 
-  /** Takes in what another daemon sent. */
+  /** Merges a message from another daemon. */
   receive (from: DaemonId, gossip: Gossip, now: number): MembershipEffect[] {
     this.#detectors.get(from)?.heard(now)
     const effects: MembershipEffect[] = []
-    const before = this.#alive
-    const members = gossip.members.filter((member) => this.#learn(member, now))
-    const facts = gossip.facts.filter((fact) => this.#learnFact(fact, now))
+    const livenessBefore = this.#livenessVersion
+    const members = gossip.members.filter((member) => this.#mergeMember(member, now))
+    const facts = gossip.facts.filter((fact) => this.#mergeFact(fact, now))
     for (const fact of facts) effects.push({ type: 'fact', fact, from })
     for (const member of members) effects.push({ type: 'member', member })
     const refuted = this.#refute(now)
-    if (this.#alive !== before) effects.push(...this.#relink(now))
-    if (members.length + facts.length > 0) effects.push(...this.#tell({ members, facts }, from))
+    if (this.#livenessVersion !== livenessBefore) effects.push(...this.#updateNeighbours(now))
+    if (members.length + facts.length > 0) effects.push(...this.#broadcast({ members, facts }, from))
     effects.push(...refuted)
-    if (gossip.digest !== undefined && gossip.digest !== this.digest()) effects.push({ type: 'send', to: from, gossip: this.table() })
-    if (gossip.whole && this.#holdsMoreThan(gossip)) effects.push({ type: 'send', to: from, gossip: { ...this.table(), whole: false } })
+    if (gossip.digest !== undefined && gossip.digest !== this.digest()) effects.push({ type: 'send', to: from, gossip: this.snapshot() })
+    if (gossip.whole && this.#hasNewerEntriesThan(gossip)) effects.push({ type: 'send', to: from, gossip: { ...this.snapshot(), whole: false } })
     return effects
   }
 
-  /** A link to a neighbour came up: it gets the whole table, so that nothing sent while it was down is missed. */
+  /** Handles a new connection to a neighbour: sends it the whole table, so that it catches up on messages lost while disconnected. */
   linked (to: DaemonId): MembershipEffect[] {
-    return [{ type: 'send', to, gossip: { ...this.table(), whole: false } }]
+    return [{ type: 'send', to, gossip: { ...this.snapshot(), whole: false } }]
   }
 
-  /** Hash of everything known, the same for daemons that know the same. */
+  /** Returns a hash of the table; daemons with the same entries have the same hash. */
   digest (): number {
     const members = this.members.map((member) => `${member.id}:${member.incarnation}:${member.state}`).sort()
     const facts = [...this.#facts.values()].map(({ fact }) => `${fact.key}:${fact.version}`).sort()
     return this.#options.hash([...members, ...facts].join('|'))
   }
 
-  #put (member: Member, now: number): void {
+  #setMember (member: Member, now: number): void {
     this.#members.set(member.id, { member, sinceMs: now })
     this.#version++
   }
 
-  #remove (id: DaemonId): void {
+  #removeMember (id: DaemonId): void {
     this.#members.delete(id)
     this.#version++
   }
 
-  #learn (member: Member, now: number): boolean {
+  #mergeMember (member: Member, now: number): boolean {
     const known = this.#members.get(member.id)
-    if (!replaces(member, known?.member)) return false
+    if (!supersedes(member, known?.member)) return false
     if (!known && (member.state === 'left' || member.state === 'gone') && member.heir === undefined) return false
-    if (mayAnswer(member) !== (known !== undefined && mayAnswer(known.member))) this.#alive++
-    this.#put(member, now)
+    if (mayAnswer(member) !== (known !== undefined && mayAnswer(known.member))) this.#livenessVersion++
+    this.#setMember(member, now)
     return true
   }
 
-  #learnFact (fact: Fact, now: number): boolean {
+  #mergeFact (fact: Fact, now: number): boolean {
     const known = this.#facts.get(fact.key)
     if (known && known.fact.version >= fact.version) return false
     this.#facts.set(fact.key, { fact, sinceMs: now })
     return true
   }
 
-  /** A paused daemon that wakes finds itself suspected: its own higher incarnation puts that right everywhere. */
+  /** Refutes a suspicion of this daemon, such as after it was paused, by publishing its record with a higher incarnation. */
   #refute (now: number): MembershipEffect[] {
-    if (this.self.state === this.#ownState) return []
+    if (this.self.state === this.#declaredState) return []
     return this.setSelf({}, now)
   }
 
-  #suspectSilent (now: number): MembershipEffect[] {
-    const worse: Member[] = []
+  #suspectSilentMembers (now: number): MembershipEffect[] {
+    const demoted: Member[] = []
     for (const id of this.neighbours) {
       const known = this.#members.get(id)
       if (known && mayAnswer(known.member) && known.member.state !== 'suspect' && this.#detectors.get(id)?.suspects(now)) {
-        worse.push({ ...known.member, state: 'suspect' })
+        demoted.push({ ...known.member, state: 'suspect' })
       }
     }
     for (const { member, sinceMs } of this.#members.values()) {
-      if (member.state === 'suspect' && now - sinceMs > GONE_AFTER_MS) worse.push({ ...member, state: 'gone' })
+      if (member.state === 'suspect' && now - sinceMs > GONE_AFTER_MS) demoted.push({ ...member, state: 'gone' })
     }
-    for (const member of worse) this.#put(member, now)
-    if (worse.length === 0) return []
-    return [...worse.map((member): MembershipEffect => ({ type: 'member', member })), ...this.#relink(now), ...this.#tell({ members: worse, facts: [] })]
+    for (const member of demoted) this.#setMember(member, now)
+    if (demoted.length === 0) return []
+    return [...demoted.map((member): MembershipEffect => ({ type: 'member', member })), ...this.#updateNeighbours(now), ...this.#broadcast({ members: demoted, facts: [] })]
   }
 
-  #forgetOld (now: number): void {
+  #expireEntries (now: number): void {
     for (const [id, { member, sinceMs }] of this.#members) {
-      if ((member.state === 'left' || member.state === 'gone') && now - sinceMs > FORGET_AFTER_MS) this.#remove(id)
+      if ((member.state === 'left' || member.state === 'gone') && now - sinceMs > TOMBSTONE_TTL_MS) this.#removeMember(id)
     }
     for (const [key, { sinceMs }] of this.#facts) {
-      if (key !== 'config' && now - sinceMs > FACT_KEPT_MS) this.#facts.delete(key)
+      if (key !== 'config' && now - sinceMs > FACT_TTL_MS) this.#facts.delete(key)
     }
   }
 
-  #relink (now: number): MembershipEffect[] {
+  #updateNeighbours (now: number): MembershipEffect[] {
     const alive = this.members.filter(mayAnswer).map((member) => member.id)
     const next = neighbours(this.self.id, alive, { hash: this.#options.hash })
     const unchanged = next.successors.join() === this.#successors.join() && next.predecessors.join() === this.#predecessors.join()
     if (unchanged) return []
     this.#successors = next.successors
     this.#predecessors = next.predecessors
-    this.#watchNeighbours(now)
+    this.#updateDetectors(now)
     return [{ type: 'links', dial: this.#successors.map((id) => this.member(id)!) }]
   }
 
-  #watchNeighbours (now: number): void {
+  #updateDetectors (now: number): void {
     const watched = new Set(this.neighbours)
     for (const id of this.#detectors.keys()) {
       if (!watched.has(id)) this.#detectors.delete(id)
@@ -235,22 +236,22 @@
     }
   }
 
-  #holdsMoreThan (gossip: Gossip): boolean {
+  #hasNewerEntriesThan (gossip: Gossip): boolean {
     const theirs = new Map(gossip.members.map((member) => [member.id, member]))
     const facts = new Map(gossip.facts.map((fact) => [fact.key, fact.version]))
-    return this.members.some((member) => replaces(member, theirs.get(member.id))) ||
+    return this.members.some((member) => supersedes(member, theirs.get(member.id))) ||
       [...this.#facts.values()].some(({ fact }) => fact.version > (facts.get(fact.key) ?? 0))
   }
 
   /**
-   * Facts go to all neighbours. Records only go to the successors: each new configuration changes every record, and over all links
-   * each would cross each link twice. A record that is missed on the way comes with the next digest.
+   * Sends facts to all neighbours and member records to the successors only. Each new configuration changes every record, and sent to all
+   * neighbours each record would cross each link twice. A record that is lost is repaired by the next digest.
    */
-  #tell (gossip: Gossip, except?: DaemonId): MembershipEffect[] {
+  #broadcast (gossip: Gossip, except?: DaemonId): MembershipEffect[] {
     const { facts, members } = gossip
     return this.neighbours.filter((id) => id !== except).flatMap((to): MembershipEffect[] => {
-      const share = this.#successors.includes(to) ? members : []
-      return facts.length + share.length === 0 ? [] : [{ type: 'send', to, gossip: { members: share, facts } }]
+      const records = this.#successors.includes(to) ? members : []
+      return facts.length + records.length === 0 ? [] : [{ type: 'send', to, gossip: { members: records, facts } }]
     })
   }
 }
--- a/core/membership/membership_test.ts
+++ b/core/membership/membership_test.ts
@@ -1,30 +1,30 @@
 import fc from 'fast-check'
 import { expect, test } from 'vitest'
 import { as, type DaemonId, type FailureDomain } from '../ids/index.ts'
-import { GONE_AFTER_MS, HEARTBEAT_MS, Membership, neighbours, replaces, SUSPECT_AFTER_MS, type Gossip, type Member, type MembershipEffect, type MemberState } from './index.ts'
+import { GONE_AFTER_MS, HEARTBEAT_MS, Membership, neighbours, supersedes, SUSPECT_AFTER_MS, type Gossip, type Member, type MembershipEffect, type MemberState } from './index.ts'
 
 const id = (name: string) => as<DaemonId>(name)
 const hash = (text: string) => [...text].reduce((sum, char) => Math.imul(sum ^ char.charCodeAt(0), 0x01000193) >>> 0, 0x811C9DC5)
-const start = (name: string) => new Membership({ self: { id: id(name), address: name, failureDomain: as<FailureDomain>('d') }, hash, now: 0 })
+const newMembership = (name: string) => new Membership({ self: { id: id(name), address: name, failureDomain: as<FailureDomain>('d') }, hash, now: 0 })
 
-/** Delivers every message until none is left; the daemons in `silent` neither send nor receive. */
-function deliver (nodes: ReadonlyMap<DaemonId, Membership>, from: DaemonId, effects: readonly MembershipEffect[], now: number, silent = new Set<DaemonId>()): void {
+/** Delivers messages until none is left; the daemons in `isolated` neither send nor receive. */
+function deliver (nodes: ReadonlyMap<DaemonId, Membership>, from: DaemonId, effects: readonly MembershipEffect[], now: number, isolated = new Set<DaemonId>()): void {
   const queue = effects.flatMap((effect) => (effect.type === 'send' ? [{ from, to: effect.to, gossip: effect.gossip }] : []))
   for (let next = queue.shift(); next; next = queue.shift()) {
     const { to, gossip } = next
-    if (silent.has(to) || silent.has(next.from)) continue
+    if (isolated.has(to) || isolated.has(next.from)) continue
     for (const effect of nodes.get(to)!.receive(next.from, gossip, now)) if (effect.type === 'send') queue.push({ from: to, to: effect.to, gossip: effect.gossip })
   }
 }
 
 function cluster (size: number): Map<DaemonId, Membership> {
-  const nodes = new Map(Array.from({ length: size }, (_, i) => [id(`n${i}`), start(`n${i}`)]))
+  const nodes = new Map(Array.from({ length: size }, (_, i) => [id(`n${i}`), newMembership(`n${i}`)]))
   const first = nodes.get(id('n0'))!
-  for (const node of nodes.values()) deliver(nodes, node.self.id, [{ type: 'send', to: first.self.id, gossip: node.table() }], 0)
+  for (const node of nodes.values()) deliver(nodes, node.self.id, [{ type: 'send', to: first.self.id, gossip: node.snapshot() }], 0)
   return nodes
 }
 
-test('daemons that join through one of them all know each other, with few links each', () => {
+test('daemons that join through one member all learn of each other, with few connections each', () => {
   const nodes = cluster(30)
   for (const node of nodes.values()) {
     expect(node.members).toHaveLength(30)
@@ -32,12 +32,12 @@
   }
 })
 
-test('a daemon that was paused and wakes refutes that it is gone, everywhere', () => {
-  // Callers are told that their answers are lost: a daemon stood still for half a minute, was called gone, and woke with all its streams.
+test('a daemon that resumes after a pause refutes on all members that it is gone', () => {
+  // Guards against answers reported as lost: a daemon paused for half a minute was declared gone, then resumed with all its streams.
   const nodes = cluster(8)
   const paused = new Set([id('n3')])
-  const run = (fromMs: number, toMs: number, silent: Set<DaemonId>) => {
-    for (let now = fromMs; now <= toMs; now += HEARTBEAT_MS) for (const node of nodes.values()) if (!silent.has(node.self.id)) deliver(nodes, node.self.id, node.tick(now), now, silent)
+  const run = (fromMs: number, toMs: number, isolated: Set<DaemonId>) => {
+    for (let now = fromMs; now <= toMs; now += HEARTBEAT_MS) for (const node of nodes.values()) if (!isolated.has(node.self.id)) deliver(nodes, node.self.id, node.tick(now), now, isolated)
   }
   const stopMs = SUSPECT_AFTER_MS + GONE_AFTER_MS + 5000
   run(0, stopMs, paused)
@@ -47,11 +47,11 @@
   expect(new Set([...nodes.values()].map((node) => node.member(id('n3'))!.state))).toEqual(new Set(['up']))
 })
 
-test('records end the same in whatever order rumours come, and late ones bring nobody back', () => {
+test('records converge in any order of gossip, and late gossip resurrects no member', () => {
   const state = fc.constantFrom<MemberState>('up', 'draining', 'suspect', 'gone', 'left')
   const record = fc.record({ incarnation: fc.integer({ min: 1, max: 4 }), state }).map((part): Member => ({ id: id('m'), address: 'm', failureDomain: as('d'), revision: 0, heir: undefined, ...part }))
   fc.assert(fc.property(fc.array(record, { minLength: 1, maxLength: 12 }), fc.infiniteStream(fc.nat(100)), (records, order) => {
-    const settle = (list: readonly Member[]) => list.reduce<Member | undefined>((known, next) => (replaces(next, known) ? next : known), undefined)!
+    const settle = (list: readonly Member[]) => list.reduce<Member | undefined>((known, next) => (supersedes(next, known) ? next : known), undefined)!
     const shuffled = records.map((each) => ({ each, rank: order.next().value as number })).sort((a, b) => a.rank - b.rank).map(({ each }) => each)
     const [one, other] = [settle(records), settle(shuffled)]
     expect([one.incarnation, one.state]).toEqual([other.incarnation, other.state])
@@ -67,7 +67,7 @@
   expect([...nodes.values()].map((node) => node.fact('config')?.version)).toEqual(Array(40).fill(2))
 })
 
-test('the rings stay connected when a failure domain goes', () => {
+test('the overlay stays connected when a failure domain is lost', () => {
   const all = Array.from({ length: 120 }, (_, i) => id(`n${i}`))
   const left = all.filter((_, i) => i % 4 !== 0)
   const reached = new Set<DaemonId>([left[0]!])
--- a/core/membership/overlay.ts
+++ b/core/membership/overlay.ts
@@ -1,52 +1,53 @@
-/** Which few daemons each daemon talks to: neighbours on several rings, each in another order. */
+/** Gossip overlay: each daemon is connected to its neighbours on several hash rings, each with its own order. */
 import type { DaemonId } from '../ids/index.ts'
 import type { Hash32 } from '../routing/subset.ts'
 
 /** Options of {@linkcode neighbours}. */
 export interface OverlayOptions {
   hash: Hash32
-  /** Rings; a daemon has up to two neighbours on each. Default 3. */
+  /** Number of rings; a daemon has up to two neighbours on each. Default 3. */
   rings?: number
 }
 
-/** Neighbours of one daemon. It dials its successors; its predecessors dial it. */
+/** Neighbours of one daemon. It connects to its successors; its predecessors connect to it. */
 export interface Neighbours { successors: DaemonId[], predecessors: DaemonId[] }
 
 const DEFAULT_RINGS = 3
 
 /**
- * Finds the neighbours of a daemon by its place on each ring.
+ * Returns the neighbours of a daemon on all rings.
  *
- * The rings together form a random regular graph: it stays connected when a failure domain goes, and a rumour reaches all daemons in
- * few hops, while the number of links does not grow with the fleet.
+ * The rings together form a random regular graph: it stays connected when a failure domain is lost, and gossip reaches all daemons in few hops,
+ * while the number of connections per daemon does not grow with the fleet.
  */
 export function neighbours (self: DaemonId, members: readonly DaemonId[], options: OverlayOptions): Neighbours {
   const successors = new Set<DaemonId>()
   const predecessors = new Set<DaemonId>()
   for (let ring = 0; ring < (options.rings ?? DEFAULT_RINGS); ring++) {
-    const { next, previous } = besides(self, members, (id) => options.hash(`${ring}/${id}`))
+    const { next, previous } = adjacentOnRing(self, members, (id) => options.hash(`${ring}/${id}`))
     if (next !== undefined) successors.add(next)
     if (previous !== undefined) predecessors.add(previous)
   }
   return { successors: [...successors], predecessors: [...predecessors].filter((id) => !successors.has(id)) }
 }
 
-/** One pass instead of a sort: the closest place after and before the daemon's own, wrapping round. */
-function besides (self: DaemonId, members: readonly DaemonId[], placeOf: (id: DaemonId) => number): { next?: DaemonId, previous?: DaemonId } {
-  const own = placeOf(self)
+/** Finds the next and the previous daemon on a ring, in a single pass instead of a sort. */
+function adjacentOnRing (self: DaemonId, members: readonly DaemonId[], positionOf: (id: DaemonId) => number): { next?: DaemonId, previous?: DaemonId } {
+  const ownPosition = positionOf(self)
   let next: DaemonId | undefined
   let previous: DaemonId | undefined
-  let nextGap = Infinity
-  let previousGap = Infinity
+  let nextDistance = Infinity
+  let previousDistance = Infinity
   for (const id of members) {
     if (id === self) continue
-    const place = placeOf(id)
-    const ahead = (place - own + RING) % RING || RING
-    const behind = (own - place + RING) % RING || RING
-    if (ahead < nextGap) [next, nextGap] = [id, ahead]
-    if (behind < previousGap) [previous, previousGap] = [id, behind]
+    const position = positionOf(id)
+    const distanceAhead = (position - ownPosition + RING_SIZE) % RING_SIZE || RING_SIZE
+    const distanceBehind = (ownPosition - position + RING_SIZE) % RING_SIZE || RING_SIZE
+    if (distanceAhead < nextDistance) [next, nextDistance] = [id, distanceAhead]
+    if (distanceBehind < previousDistance) [previous, previousDistance] = [id, distanceBehind]
   }
   return { ...(next !== undefined && { next }), ...(previous !== undefined && { previous }) }
 }
 
-const RING = 2 ** 32
+/** Positions are unsigned 32-bit hashes. */
+const RING_SIZE = 2 ** 32
