--- a/core/admission/fair_queue.ts
+++ b/core/admission/fair_queue.ts
@@ -1,127 +1,128 @@
-/** Queue of accepted requests that wait for an endpoint, fair between client accounts. */
+/** Queue of accepted requests that wait for an endpoint, with fair scheduling between client accounts. */
 import type { AccountId } from '../ids/index.ts'
 
-/** A request that waits. */
+/** A queued request. */
 export interface Waiting<T> {
   account: AccountId
-  /** Work it asks for, in tokens. */
+  /** Cost of the request in tokens. */
   tokens: number
-  /** When it is too late to start, in milliseconds on the daemon's clock. */
+  /** Latest start time, in milliseconds on the daemon's clock. */
   startByMs: number
-  /** Short classes go before long ones of the same account and may use the reserve. */
+  /** Urgent requests precede the others and may use the reserved batch slots. */
   urgent: boolean
   item: T
 }
 
-/** Chooses which waiting request starts next. */
+/** Queue that determines which request starts next. */
 export interface WorkQueue<T> {
   readonly length: number
   push (entry: Waiting<T>): void
-  /** How many of those that wait would start before one more request of this account. */
+  /** Returns the number of queued requests that would start before a new request of this account. */
   ahead (account: AccountId, urgent: boolean): number
-  /** The request to start next, without removing it. */
+  /** Returns the request to start next without removing it. */
   peek (): Waiting<T> | undefined
   remove (entry: Waiting<T>): void
-  /** The first request that matches. */
+  /** Returns a request that matches, or undefined if there is none. */
   find (matches: (entry: Waiting<T>) => boolean): Waiting<T> | undefined
-  /** Removes and returns the requests that can no longer start in time. */
+  /** Removes and returns the requests whose latest start time has passed. */
   expire (now: number): Waiting<T>[]
 }
 
-interface Lane<T> { served: number, entries: Waiting<T>[] }
+/** Requests of one account. The start tag is the virtual time, in tokens, at which its next request starts. */
+interface AccountQueue<T> { startTag: number, entries: Waiting<T>[] }
 
 /**
- * Start-time fair queue: the account with the fewest tokens served goes next, urgent work before other work.
+ * Start-time fair queue: urgent requests go first, and among accounts the one with the lowest start tag.
  *
- * Guards against a large account that sends ten times its share: in one queue the small accounts would wait behind it. An account that
- * was idle starts at the level of the busy ones, so it cannot save up a claim on the future.
+ * Guards against an account that sends ten times its share: in a single FIFO queue the small accounts would wait behind it. An account that was idle
+ * starts at the current virtual time, so that it accumulates no credit.
  */
 export class FairQueue<T> implements WorkQueue<T> {
-  readonly #lanes = new Map<AccountId, Lane<T>>()
-  #level = 0
+  readonly #accountQueues = new Map<AccountId, AccountQueue<T>>()
+  #virtualTime = 0
   #length = 0
 
   get length (): number { return this.#length }
 
   push (entry: Waiting<T>): void {
-    const lane = this.#lane(entry.account)
-    if (lane.entries.length === 0) lane.served = Math.max(lane.served, this.#level)
-    const at = entry.urgent ? lane.entries.findIndex((other) => !other.urgent) : -1
-    lane.entries.splice(at < 0 ? lane.entries.length : at, 0, entry)
+    const queue = this.#queueOf(entry.account)
+    if (queue.entries.length === 0) queue.startTag = Math.max(queue.startTag, this.#virtualTime)
+    const index = entry.urgent ? queue.entries.findIndex((other) => !other.urgent) : -1
+    queue.entries.splice(index < 0 ? queue.entries.length : index, 0, entry)
     this.#length++
   }
 
-  /** Lanes take turns, so a long one counts for no more than the new request's own place in its lane. */
+  /** The account queues take turns, so each counts for at most the position of the new request in its own queue. */
   ahead (account: AccountId, urgent: boolean): number {
-    const before = (lane: Lane<T>) => (urgent ? lane.entries.filter((entry) => entry.urgent).length : lane.entries.length)
-    const own = this.#lanes.get(account)
-    const place = (own ? before(own) : 0) + 1
-    let ahead = place - 1
-    for (const [other, lane] of this.#lanes) if (other !== account) ahead += Math.min(before(lane), place)
-    return ahead
+    const countBefore = (queue: AccountQueue<T>) => (urgent ? queue.entries.filter((entry) => entry.urgent).length : queue.entries.length)
+    const own = this.#accountQueues.get(account)
+    const position = (own ? countBefore(own) : 0) + 1
+    let requestsAhead = position - 1
+    for (const [other, queue] of this.#accountQueues) if (other !== account) requestsAhead += Math.min(countBefore(queue), position)
+    return requestsAhead
   }
 
   peek (): Waiting<T> | undefined {
-    let best: Lane<T> | undefined
-    for (const lane of this.#lanes.values()) {
-      if (lane.entries.length > 0 && (!best || before(lane, best))) best = lane
+    let best: AccountQueue<T> | undefined
+    for (const queue of this.#accountQueues.values()) {
+      if (queue.entries.length > 0 && (!best || precedes(queue, best))) best = queue
     }
     return best?.entries[0]
   }
 
   remove (entry: Waiting<T>): void {
-    const lane = this.#lane(entry.account)
-    const at = lane.entries.indexOf(entry)
-    if (at < 0) return
-    lane.entries.splice(at, 1)
+    const queue = this.#queueOf(entry.account)
+    const index = queue.entries.indexOf(entry)
+    if (index < 0) return
+    queue.entries.splice(index, 1)
     this.#length--
-    this.#level = Math.max(this.#level, lane.served)
-    lane.served += entry.tokens
-    this.#forgetIdle()
+    this.#virtualTime = Math.max(this.#virtualTime, queue.startTag)
+    queue.startTag += entry.tokens
+    this.#removeIdleQueues()
   }
 
   find (matches: (entry: Waiting<T>) => boolean): Waiting<T> | undefined {
-    for (const lane of this.#lanes.values()) {
-      const found = lane.entries.find(matches)
+    for (const queue of this.#accountQueues.values()) {
+      const found = queue.entries.find(matches)
       if (found) return found
     }
     return undefined
   }
 
   expire (now: number): Waiting<T>[] {
-    const late: Waiting<T>[] = []
-    for (const lane of this.#lanes.values()) {
-      late.push(...lane.entries.filter((entry) => entry.startByMs <= now))
-      lane.entries = lane.entries.filter((entry) => entry.startByMs > now)
+    const expired: Waiting<T>[] = []
+    for (const queue of this.#accountQueues.values()) {
+      expired.push(...queue.entries.filter((entry) => entry.startByMs <= now))
+      queue.entries = queue.entries.filter((entry) => entry.startByMs > now)
     }
-    this.#length -= late.length
-    return late
+    this.#length -= expired.length
+    return expired
   }
 
-  /** An idle lane at or below the level holds nothing that a new one would not. */
-  #forgetIdle (): void {
-    for (const [account, lane] of this.#lanes) {
-      if (lane.entries.length === 0 && lane.served <= this.#level) this.#lanes.delete(account)
+  /** Removes empty queues whose start tag has been reached by the virtual time; they are equivalent to new ones. */
+  #removeIdleQueues (): void {
+    for (const [account, queue] of this.#accountQueues) {
+      if (queue.entries.length === 0 && queue.startTag <= this.#virtualTime) this.#accountQueues.delete(account)
     }
   }
 
-  #lane (account: AccountId): Lane<T> {
-    let lane = this.#lanes.get(account)
-    if (!lane) {
-      lane = { served: this.#level, entries: [] }
-      this.#lanes.set(account, lane)
+  #queueOf (account: AccountId): AccountQueue<T> {
+    let queue = this.#accountQueues.get(account)
+    if (!queue) {
+      queue = { startTag: this.#virtualTime, entries: [] }
+      this.#accountQueues.set(account, queue)
     }
-    return lane
+    return queue
   }
 }
 
-function before<T> (a: Lane<T>, b: Lane<T>): boolean {
+function precedes<T> (a: AccountQueue<T>, b: AccountQueue<T>): boolean {
   const aUrgent = a.entries[0]!.urgent
   const bUrgent = b.entries[0]!.urgent
-  return aUrgent === bUrgent ? a.served < b.served : aUrgent
+  return aUrgent === bUrgent ? a.startTag < b.startTag : aUrgent
 }
 
-/** Baseline: first come, first served. */
+/** First-in, first-out queue, as a baseline for {@linkcode FairQueue}. */
 export class FifoQueue<T> implements WorkQueue<T> {
   #entries: Waiting<T>[] = []
 
@@ -133,8 +134,8 @@
   remove (entry: Waiting<T>): void { this.#entries = this.#entries.filter((other) => other !== entry) }
 
   expire (now: number): Waiting<T>[] {
-    const late = this.#entries.filter((entry) => entry.startByMs <= now)
+    const expired = this.#entries.filter((entry) => entry.startByMs <= now)
     this.#entries = this.#entries.filter((entry) => entry.startByMs > now)
-    return late
+    return expired
   }
 }
