--- a/core/fleet/endpoint_demand.ts
+++ b/core/fleet/endpoint_demand.ts
@@ -1,103 +1,105 @@
-/** How much work a pool has, in model engines. */
+/** Demand of a pool, measured in model engines. */
 
 /** Options of {@linkcode EndpointDemand}. */
 export interface EndpointDemandOptions {
-  /** Engines assumed busy at first: whoever begins to count knows nothing of the work, but sees what was ordered for it. */
+  /** Initial demand in engines, assumed until work was measured. A daemon that starts measuring knows the endpoints that were ordered, but not the work. */
   first: number
-  /** True when there is no work yet for certain. Default false. */
+  /** True if it is certain that there is no work yet. Default false. */
   idle?: boolean
-  /** Milliseconds on the steady clock. */
+  /** Start time in milliseconds on the steady clock. */
   now: number
 }
 
-/** A running total of what was asked for, and of how many daemons it is the sum. */
-export interface AskedTotal {
+/** Running total of the tokens requested from a pool. */
+export interface RequestedTotal {
   tokens: number
+  /** Number of daemons whose totals are included. */
   tellers: number
-  /** How long an engine reads one, as is believed now. */
+  /** Current estimate of the time that an engine needs to prefill one token, in milliseconds. */
   msPerToken: number
 }
 
 interface Sample { atMs: number, tokens: number }
 
-/** Work is averaged over this long, in milliseconds. */
-const WINDOW_MS = 6000
-/** And over this long, in milliseconds, so that a jump is known before its callers have waited for a boot twice. */
-const JUMP_WINDOW_MS = 2000
-/** Part of that which counts: in so short a time a few long prompts look like a jump. */
-const JUMP_PART = 0.65
-/** What was assumed at first is held no longer than this while no work comes, in milliseconds. */
-const FIRST_HELD_MS = 60_000
-/** Less work must have come for this long before endpoints are given up, in milliseconds: booting costs more than keeping. */
-const HOLD_MS = 15_000
+/** Window over which the request rate is averaged, in milliseconds. */
+const RATE_WINDOW_MS = 6000
+/** Short window, in milliseconds, that detects a surge before its callers have waited for the time of two boots. */
+const SURGE_WINDOW_MS = 2000
+/** Factor applied to the rate of the short window, in which a few long prompts look like a surge. */
+const SURGE_WEIGHT = 0.65
+/** Longest time for which the initial demand is assumed while no work arrives, in milliseconds. */
+const INITIAL_HOLD_MS = 60_000
+/** Time for which demand must stay lower before endpoints are released, in milliseconds, since booting an endpoint costs more than keeping it. */
+const SCALE_DOWN_HOLD_MS = 15_000
 
 const MS_PER_S = 1000
 
-/** Turns a running total of tokens asked for into engines that would be busy with nothing else. */
+/** Converts a running total of requested tokens into the number of engines that prefilling them would keep fully busy. */
 export class EndpointDemand {
   readonly #options: EndpointDemandOptions
   #samples: Sample[] = []
-  #tellers = 0
+  #reporters = 0
   #levels: Array<{ atMs: number, engines: number }> = []
-  #first: number
-  /** Until when it is assumed. */
-  #firstUntilMs: number
-  #worked = false
+  #initialEngines: number
+  /** End of the time for which the initial demand is assumed. */
+  #initialUntilMs: number
+  #hasSeenWork = false
 
   constructor (options: EndpointDemandOptions) {
     this.#options = options
-    this.#first = options.first
-    this.#firstUntilMs = options.now + (options.idle ? FIRST_HELD_MS : HOLD_MS)
+    this.#initialEngines = options.first
+    this.#initialUntilMs = options.now + (options.idle ? INITIAL_HOLD_MS : SCALE_DOWN_HOLD_MS)
   }
 
-  /** Assumes so many engines busy until the first work is counted. */
+  /** Sets the demand that is assumed until work was measured. */
   assume (engines: number): void {
-    this.#first = engines
+    this.#initialEngines = engines
   }
 
-  /** True at the very start of the system, until the first work was counted for a while or none came for long. */
+  /** Returns true at the first start of the system, until work was measured for a while or none has arrived for a long time. */
   uncounted (now: number): boolean {
-    return this.#options.idle === true && now <= this.#firstUntilMs
+    return this.#options.idle === true && now <= this.#initialUntilMs
   }
 
-  /** True for a while after it began without any work for certain. */
+  /** Returns true for a short time after a start at which there was certainly no work. */
   idle (now: number): boolean {
-    return this.#options.idle === true && now - this.#options.now < HOLD_MS
+    return this.#options.idle === true && now - this.#options.now < SCALE_DOWN_HOLD_MS
   }
 
-  /** False until work was counted for long enough to tell how much there is. */
+  /** Returns false until demand was measured for long enough to be reliable. */
   settled (now: number): boolean {
-    return this.#options.idle === true || now - this.#options.now > WINDOW_MS
+    return this.#options.idle === true || now - this.#options.now > RATE_WINDOW_MS
   }
 
   /**
-   * Notes the total and tells the highest demand of the last while, in engines, a fraction included.
+   * Records the total and returns the highest demand of the last 15 seconds.
    *
-   * A daemon that is heard of for the first time brings all that it counted since its start, which is no work of this moment.
-   * @param asked Tokens asked for since the start, over all daemons.
+   * The rate is measured anew when the number of daemons changes, since a new daemon adds all that it has counted since its start.
+   * @param total Tokens requested since the start, over all daemons.
+   * @returns Engines, possibly fractional.
    */
-  engines ({ tokens, tellers, msPerToken }: AskedTotal, now: number): number {
-    if (tellers !== this.#tellers) this.#samples = []
-    this.#tellers = tellers
-    this.#samples = this.#samples.filter((sample) => sample.atMs > now - WINDOW_MS)
+  engines ({ tokens, tellers, msPerToken }: RequestedTotal, now: number): number {
+    if (tellers !== this.#reporters) this.#samples = []
+    this.#reporters = tellers
+    this.#samples = this.#samples.filter((sample) => sample.atMs > now - RATE_WINDOW_MS)
     this.#samples.push({ atMs: now, tokens })
-    const tokensPerS = Math.max(this.#rate(WINDOW_MS), this.#rate(JUMP_WINDOW_MS) * JUMP_PART)
-    this.#levels = this.#levels.filter((level) => level.atMs > now - HOLD_MS)
+    const tokensPerS = Math.max(this.#tokensPerS(RATE_WINDOW_MS), this.#tokensPerS(SURGE_WINDOW_MS) * SURGE_WEIGHT)
+    this.#levels = this.#levels.filter((level) => level.atMs > now - SCALE_DOWN_HOLD_MS)
     this.#levels.push({ atMs: now, engines: tokensPerS * msPerToken / MS_PER_S })
     const engines = Math.max(...this.#levels.map((level) => level.engines))
-    this.#workBegan(tokens, now)
-    return now <= this.#firstUntilMs ? Math.max(engines, this.#first) : engines
+    this.#noteFirstWork(tokens, now)
+    return now <= this.#initialUntilMs ? Math.max(engines, this.#initialEngines) : engines
   }
 
-  /** Once there is work it is measured: what was assumed is held for as long as any other level. */
-  #workBegan (tokens: number, now: number): void {
-    if (this.#worked || tokens === 0) return
-    this.#worked = true
-    this.#firstUntilMs = Math.min(this.#firstUntilMs, now + HOLD_MS)
+  /** After the first work, the initial demand is held only as long as any other sample. */
+  #noteFirstWork (tokens: number, now: number): void {
+    if (this.#hasSeenWork || tokens === 0) return
+    this.#hasSeenWork = true
+    this.#initialUntilMs = Math.min(this.#initialUntilMs, now + SCALE_DOWN_HOLD_MS)
   }
 
-  /** Tokens a second over the last while. */
-  #rate (windowMs: number): number {
+  /** Returns the rate over a window, in tokens per second. */
+  #tokensPerS (windowMs: number): number {
     const last = this.#samples.at(-1)!
     const first = this.#samples.find((sample) => sample.atMs > last.atMs - windowMs)!
     return (last.tokens - first.tokens) / Math.max(1, (last.atMs - first.atMs) / 1000)
--- a/core/fleet/fleet_test.ts
+++ b/core/fleet/fleet_test.ts
@@ -7,7 +7,7 @@
 const ON_DEMAND = offer('a', 11, { reclaimable: false, wavesPerDay: 0 })
 const demand = (change: Partial<FleetDemand> = {}): FleetDemand => ({ hosts: 6, delivery: 0.999, bootMs: 180_000, lossPrice: 0.5, ...change })
 
-test('reclaimable hosts are spread over domains as the delivery target asks', () => {
+test('reclaimable hosts are spread over more domains for a stricter delivery target', () => {
   const offers = [offer('a', 4), offer('b', 4.5), offer('c', 5), ON_DEMAND]
   const loose = new MixPlanner().plan(demand({ delivery: 0.9 }), offers)
   const tight = new MixPlanner().plan(demand({ delivery: 0.9999 }), offers)
@@ -23,7 +23,7 @@
   expect(domains([offer('a', 4, refused), offer('b', 5, refused), ON_DEMAND])).toEqual(['a on demand'])
 })
 
-test('a domain that is reclaimed often is learnt to be dear', () => {
+test('a domain that is reclaimed often has a higher estimated rate', () => {
   const risk = new ReclaimRisk(0)
   const [calm, stormy] = [as<FailureDomain>('a'), as<FailureDomain>('b')]
   for (let i = 0; i < 6; i++) risk.reclaimed(stormy)
@@ -32,14 +32,14 @@
   expect(risk.perDay(calm, now)).toBeCloseTo(0.25)
 })
 
-test('a wave does not make the fleet shrink and grow', () => {
-  // Operators pay for hosts that boot and are stopped again: the wave's callers come back after a minute, and by then the hosts are gone.
+test('a reclaim wave does not make the fleet oscillate', () => {
+  // Guards against hosts that are stopped during a short drop in demand and booted again when callers return a minute later.
   const scale = new ScaleDown(600_000)
   expect([10, 4, 10, 4].map((hosts, i) => scale.smooth(hosts, i * 60_000))).toEqual([10, 10, 10, 10])
   expect(scale.smooth(4, 900_000)).toBe(4)
 })
 
-test('against the baselines: never dearer than on-demand only, never further from the target than the cheapest', () => {
+test('compared with the baselines: never more expensive than on-demand only, and never further from the target than the cheapest offer', () => {
   const offers = fc.array(fc.record({ price: fc.integer({ min: 3, max: 9 }), waves: fc.integer({ min: 0, max: 4 }) }), { minLength: 1, maxLength: 4 })
   fc.assert(fc.property(offers, fc.integer({ min: 1, max: 14 }), fc.constantFrom(0.99, 0.999, 0.9995), (list, hosts, delivery) => {
     const all = [...list.map(({ price, waves }, i) => offer(`d${i}`, price, { wavesPerDay: waves })), ON_DEMAND]
@@ -50,8 +50,8 @@
   }), { seed: 3, numRuns: 100 })
 })
 
-test('a jump of work is known within two seconds, and not forgotten at once', () => {
-  // Callers who come all at once wait for as long as two boots: the work was averaged over longer than an endpoint takes to boot.
+test('a surge is detected within two seconds and remembered after it ends', () => {
+  // Guards against callers of a surge waiting for the time of two boots because the rate is averaged over longer than an endpoint takes to boot.
   const demand = new EndpointDemand({ first: 0, now: 0 })
   let tokens = 0
   const pass = (from: number, to: number, engines: number) => {
--- a/core/fleet/hysteresis.ts
+++ b/core/fleet/hysteresis.ts
@@ -1,19 +1,19 @@
-/** Keeps a fleet from oscillating: it grows at once and shrinks only when less was enough for a while. */
+/** Stabilization of the fleet size against oscillation. */
 
-/** Highest wish of the last while. */
+/** Sliding maximum of the desired number of hosts: the fleet grows at once and shrinks only after fewer hosts have been enough for a while. */
 export class ScaleDown {
   readonly #holdMs: number
-  #wishes: Array<{ atMs: number, hosts: number }> = []
+  #samples: Array<{ atMs: number, hosts: number }> = []
 
-  /** @param holdMs Milliseconds for which fewer hosts must have been enough. Default 600,000. */
+  /** @param holdMs Length of the window in milliseconds. Default 600,000. */
   constructor (holdMs = 600_000) {
     this.#holdMs = holdMs
   }
 
-  /** Notes how many hosts are wanted now and returns how many to plan for. */
+  /** Records the number of hosts wanted now and returns the number to plan for. */
   smooth (hosts: number, now: number): number {
-    this.#wishes = this.#wishes.filter((wish) => wish.atMs > now - this.#holdMs)
-    this.#wishes.push({ atMs: now, hosts })
-    return Math.max(...this.#wishes.map((wish) => wish.hosts))
+    this.#samples = this.#samples.filter((sample) => sample.atMs > now - this.#holdMs)
+    this.#samples.push({ atMs: now, hosts })
+    return Math.max(...this.#samples.map((sample) => sample.hosts))
   }
 }
--- a/core/fleet/plan_fleet.ts
+++ b/core/fleet/plan_fleet.ts
@@ -1,33 +1,33 @@
-/** Which hosts to hold for one pool: the cheapest mix whose expected losses keep the delivery target. */
+/** Planning of a pool's hosts: the cheapest mix of on-demand and reclaimable hosts that meets the delivery target. */
 import type { FailureDomain } from '../ids/index.ts'
 
-/** Hosts that the cloud offers in one failure domain. */
+/** Hosts of one kind that the cloud offers in one failure domain. */
 export interface Offer {
   failureDomain: FailureDomain
   reclaimable: boolean
   pricePerHour: number
-  /** Waves a day to be expected; 0 for on-demand hosts. */
+  /** Expected reclaims of the domain per day; 0 for on-demand hosts. */
   wavesPerDay: number
-  /** False while starts there are refused. */
+  /** False while the cloud refuses to start such hosts. */
   available: boolean
 }
 
-/** What the fleet is for. */
+/** Requirements that the fleet has to meet. */
 export interface FleetDemand {
-  /** Hosts that the work needs now, a fraction included. */
+  /** Hosts needed for the current work, possibly fractional. */
   hosts: number
-  /** Fraction of requests to answer in time. */
+  /** Target fraction of requests answered in time. */
   delivery: number
-  /** Milliseconds from the order of a host to its first request, its weights loaded. */
+  /** Time from ordering a host to its first request, including loading the model weights, in milliseconds. */
   bootMs: number
-  /** Money that the loss of one reclaimable host costs in recomputed work. */
+  /** Cost of the work that is recomputed when one reclaimable host is lost, in the unit of the prices. */
   lossPrice: number
 }
 
-/** Hosts to hold of one offer. */
+/** Number of hosts to hold of one offer. */
 export interface Holding { offer: Offer, count: number }
 
-/** A plan and what it promises. */
+/** Hosts to hold, their price and the expected fraction of missed requests. */
 export interface FleetPlan { holdings: Holding[], pricePerHour: number, expectedMissed: number }
 
 /** Chooses the hosts of a pool. */
@@ -37,29 +37,30 @@
 
 const HOURS_PER_DAY = 24
 const MS_PER_DAY = 86_400_000
-/** Part of what may be missed that reclaims may use up; the rest is for everything else. */
-const MISS_BUDGET = 0.5
-const SAME_PRICE = 1e-9
+/** Fraction of the miss budget available to reclaims; the rest is reserved for other causes. */
+const RECLAIM_MISS_SHARE = 0.5
+/** Difference below which two prices count as equal. */
+const PRICE_TOLERANCE = 1e-9
 
 /**
- * Tries every number of domains to spread reclaimable hosts over and every number of spare and of on-demand hosts, and takes the cheapest mix
- * whose expected share of missed requests keeps the delivery target.
+ * Exhaustive search over the number of domains, of spare hosts and of on-demand hosts for the cheapest mix whose expected fraction of missed requests
+ * meets the delivery target.
  *
- * A wave takes all reclaimable hosts of its domain; until others have booted, the work beyond what is left is missed. Spare hosts and
- * on-demand hosts lower what is missed; so do more domains, at dearer prices.
+ * A reclaim takes all reclaimable hosts of a domain; until replacements have booted, the work beyond the remaining capacity is missed. Spare hosts,
+ * on-demand hosts and more domains, which are more expensive, reduce the misses.
  */
 export class MixPlanner implements FleetPlanner {
   plan (demand: FleetDemand, offers: readonly Offer[]): FleetPlan {
     const needed = Math.max(1, Math.ceil(demand.hosts))
-    const reclaimable = usable(offers, true, demand)
-    const onDemand = usable(offers, false, demand)[0]
+    const reclaimable = availableOffers(offers, true, demand)
+    const onDemand = availableOffers(offers, false, demand)[0]
     let best: FleetPlan | undefined
     for (let domains = 0; domains <= reclaimable.length; domains++) {
-      for (let firm = 0; firm <= (onDemand ? needed : 0); firm++) {
+      for (let onDemandCount = 0; onDemandCount <= (onDemand ? needed : 0); onDemandCount++) {
         for (let spare = 0; spare <= needed; spare++) {
-          const borrowed = needed + spare - firm
-          if ((domains === 0) !== (borrowed === 0)) continue
-          const plan = mix(demand, needed, [...spread(reclaimable.slice(0, domains), borrowed), ...(onDemand && firm > 0 ? [{ offer: onDemand, count: firm }] : [])])
+          const reclaimableCount = needed + spare - onDemandCount
+          if ((domains === 0) !== (reclaimableCount === 0)) continue
+          const plan = evaluateMix(demand, needed, [...spreadEvenly(reclaimable.slice(0, domains), reclaimableCount), ...(onDemand && onDemandCount > 0 ? [{ offer: onDemand, count: onDemandCount }] : [])])
           if (!best || isBetter(plan, best, demand)) best = plan
         }
       }
@@ -68,53 +69,55 @@
   }
 }
 
-/** Baseline: on-demand hosts only. */
+/** Baseline planner that uses on-demand hosts only. */
 export class OnDemandPlanner implements FleetPlanner {
   plan (demand: FleetDemand, offers: readonly Offer[]): FleetPlan {
     const needed = Math.max(1, Math.ceil(demand.hosts))
-    const offer = usable(offers, false, demand)[0]
-    return mix(demand, needed, offer ? [{ offer, count: needed }] : [])
+    const offer = availableOffers(offers, false, demand)[0]
+    return evaluateMix(demand, needed, offer ? [{ offer, count: needed }] : [])
   }
 }
 
-/** Baseline: the cheapest reclaimable hosts, wherever they are. */
+/** Baseline planner that takes all hosts from the cheapest available offer. */
 export class CheapestPlanner implements FleetPlanner {
   plan (demand: FleetDemand, offers: readonly Offer[]): FleetPlan {
     const needed = Math.max(1, Math.ceil(demand.hosts))
     const offer = offers.filter((each) => each.available).sort((a, b) => a.pricePerHour - b.pricePerHour)[0]
-    return mix(demand, needed, offer ? [{ offer, count: needed }] : [])
+    return evaluateMix(demand, needed, offer ? [{ offer, count: needed }] : [])
   }
 }
 
-/** Offers that can be had, by price with the cost of being reclaimed. */
-function usable (offers: readonly Offer[], reclaimable: boolean, demand: FleetDemand): Offer[] {
-  const fullPrice = (offer: Offer) => offer.pricePerHour + offer.wavesPerDay / HOURS_PER_DAY * demand.lossPrice
-  return offers.filter((offer) => offer.available && offer.reclaimable === reclaimable).sort((a, b) => fullPrice(a) - fullPrice(b))
+/** Returns the available offers of one kind, sorted by price including the expected cost of reclaims. */
+function availableOffers (offers: readonly Offer[], reclaimable: boolean, demand: FleetDemand): Offer[] {
+  const effectivePrice = (offer: Offer) => offer.pricePerHour + offer.wavesPerDay / HOURS_PER_DAY * demand.lossPrice
+  return offers.filter((offer) => offer.available && offer.reclaimable === reclaimable).sort((a, b) => effectivePrice(a) - effectivePrice(b))
 }
 
-/** As evenly as whole hosts allow, the cheapest domains first. */
-function spread (offers: readonly Offer[], count: number): Holding[] {
+/** Distributes hosts evenly over the offers; the first ones receive the remainder. */
+function spreadEvenly (offers: readonly Offer[], count: number): Holding[] {
   return offers.map((offer, i) => ({ offer, count: Math.floor(count / offers.length) + (i < count % offers.length ? 1 : 0) })).filter(({ count }) => count > 0)
 }
 
-function mix (demand: FleetDemand, needed: number, holdings: Holding[]): FleetPlan {
+/** Computes the price and the expected fraction of missed requests of a mix. */
+function evaluateMix (demand: FleetDemand, needed: number, holdings: Holding[]): FleetPlan {
   const total = holdings.reduce((sum, { count }) => sum + count, 0)
   let pricePerHour = 0
   let expectedMissed = Math.max(0, needed - total) / needed
   for (const { offer, count } of holdings) {
     pricePerHour += count * (offer.pricePerHour + offer.wavesPerDay / HOURS_PER_DAY * demand.lossPrice)
-    const short = Math.max(0, demand.hosts - (total - count)) / demand.hosts
-    expectedMissed += short * offer.wavesPerDay * demand.bootMs / MS_PER_DAY
+    const missingShare = Math.max(0, demand.hosts - (total - count)) / demand.hosts
+    expectedMissed += missingShare * offer.wavesPerDay * demand.bootMs / MS_PER_DAY
   }
   return { holdings, pricePerHour, expectedMissed }
 }
 
+/** Prefers plans within the miss budget, then the lower price; outside the budget, fewer misses. */
 function isBetter (plan: FleetPlan, best: FleetPlan, demand: FleetDemand): boolean {
-  const allowed = (1 - demand.delivery) * MISS_BUDGET
+  const allowed = (1 - demand.delivery) * RECLAIM_MISS_SHARE
   const [ok, bestOk] = [plan.expectedMissed <= allowed, best.expectedMissed <= allowed]
   if (ok !== bestOk) return ok
   if (!ok) return plan.expectedMissed < best.expectedMissed
-  // At the same price, more domains: nothing is won by holding all in one.
-  if (Math.abs(plan.pricePerHour - best.pricePerHour) <= SAME_PRICE) return plan.expectedMissed < best.expectedMissed
+  // At the same price fewer misses are better, which favours spreading over more domains.
+  if (Math.abs(plan.pricePerHour - best.pricePerHour) <= PRICE_TOLERANCE) return plan.expectedMissed < best.expectedMissed
   return plan.pricePerHour < best.pricePerHour
 }
--- a/core/fleet/reclaim_risk.ts
+++ b/core/fleet/reclaim_risk.ts
@@ -1,17 +1,17 @@
-/** Reclaim risk of failure domains, learnt from notices. */
+/** Reclaim rates of failure domains, estimated from reclaim notices. */
 import type { FailureDomain } from '../ids/index.ts'
 
 /** Options of {@linkcode ReclaimRisk}. */
 export interface ReclaimRiskOptions {
-  /** Rate believed before anything was seen, in waves a day. Default 0.5: a domain every other day. */
+  /** Prior rate in reclaims per day. Default 0.5, one reclaim of the domain every two days. */
   priorPerDay?: number
-  /** Days of experience that the prior counts for. Default 1. */
+  /** Weight of the prior in days of observation. Default 1. */
   priorDays?: number
 }
 
 const MS_PER_DAY = 86_400_000
 
-/** Counts waves for each domain. A rate is the waves seen and believed over the days watched and believed. */
+/** Estimates the reclaim rate of each domain: observed reclaims plus those of the prior, divided by observed days plus those of the prior. */
 export class ReclaimRisk {
   readonly #waves = new Map<FailureDomain, number>()
   readonly #prior: Required<ReclaimRiskOptions>
@@ -22,12 +22,12 @@
     this.#sinceMs = now
   }
 
-  /** Counts a notice for hosts of a domain. */
+  /** Records a reclaim notice for hosts of a domain. */
   reclaimed (domain: FailureDomain): void {
     this.#waves.set(domain, (this.#waves.get(domain) ?? 0) + 1)
   }
 
-  /** Waves a day that are to be expected in a domain. */
+  /** Returns the expected number of reclaims of a domain per day. */
   perDay (domain: FailureDomain, now: number): number {
     const { priorPerDay, priorDays } = this.#prior
     const days = (now - this.#sinceMs) / MS_PER_DAY
--- a/core/fleet/slot_demand.ts
+++ b/core/fleet/slot_demand.ts
@@ -1,27 +1,27 @@
-/** How much of a pool's batch slots its work takes, in engines. */
+/** Demand of a pool for batch slots, measured in engines. */
 import { ScaleDown } from './hysteresis.ts'
 
-/** Requests that run in a pool, and the batch slots of one of its endpoints. */
-export interface SlotsTaken { running: number, slots: number }
+/** Requests running in a pool, and the batch slots of one of its endpoints. */
+export interface SlotUsage { running: number, slots: number }
 
-/** Weight of one look: requests come in bursts shorter than a second, and those need no further endpoint. */
+/** Weight of a new sample in the moving average. Bursts shorter than a second need no additional endpoint. */
 const SMOOTHING = 0.2
-/** Fewer slots must have been taken for this long before endpoints are given up, in milliseconds: booting costs more than keeping. */
-const HOLD_MS = 15_000
+/** Time for which demand must stay lower before endpoints are released, in milliseconds, since booting an endpoint costs more than keeping it. */
+const SCALE_DOWN_HOLD_MS = 15_000
 
 /**
- * Turns what runs at the same time into engines that would be full of it.
+ * Converts the number of concurrent requests into the number of engines whose batch slots they fill.
  *
- * Load pattern: engines with a dozen batch slots are full while they still have time to read. Counted by reading alone, work of 24 engines' slots was
- * given no more endpoints than it would need if each engine had any number of slots.
+ * Engines with a dozen batch slots run out of slots before they run out of prefill time. By prefill time alone, work that filled the slots of 24 engines
+ * was given only as many endpoints as it would need if the number of slots were unlimited.
  */
 export class SlotDemand {
-  readonly #peak = new ScaleDown(HOLD_MS)
-  #engines = 0
+  readonly #peak = new ScaleDown(SCALE_DOWN_HOLD_MS)
+  #smoothed = 0
 
-  /** Notes what runs now and tells the highest demand of the last while, in engines, a fraction included. */
-  engines ({ running, slots }: SlotsTaken, now: number): number {
-    this.#engines += SMOOTHING * (running / Math.max(1, slots) - this.#engines)
-    return this.#peak.smooth(this.#engines, now)
+  /** Records the current usage and returns the highest demand of the last 15 seconds in engines, possibly fractional. */
+  engines ({ running, slots }: SlotUsage, now: number): number {
+    this.#smoothed += SMOOTHING * (running / Math.max(1, slots) - this.#smoothed)
+    return this.#peak.smooth(this.#smoothed, now)
   }
 }
--- a/core/fleet/spread_plan.ts
+++ b/core/fleet/spread_plan.ts
@@ -1,28 +1,29 @@
-/** Where a pool's endpoints shall be, and of which kind: cheap ones that may be reclaimed as long as there are any to be had. */
+/** Distribution of a pool's endpoints over failure domains and kinds: reclaimable ones as long as they are available, otherwise on-demand ones. */
 import type { Scaling } from '../catalog/index.ts'
 import type { FailureDomain } from '../ids/index.ts'
 
-/** What a failure domain has now. */
+/** Current endpoints of a pool in one failure domain. */
 export interface DomainFleet {
   failureDomain: FailureDomain
-  /** Endpoints that serve and are not leaving. */
+  /** On-demand endpoints that serve and are not leaving. */
   onDemand: number
+  /** Reclaimable endpoints that serve and are not leaving. */
   reclaimable: number
-  /** False since an order for reclaimable ones was refused, until one is taken. */
+  /** False from a refused order for reclaimable endpoints until one is accepted. */
   reclaimableToBeHad: boolean
 }
 
-/** How many endpoints the work needs. */
+/** Numbers of endpoints that the work needs. */
 export interface EndpointsWanted {
-  /** With fewer, work piles up. */
+  /** With fewer endpoints, a backlog builds up. */
   justEnough: number
-  /** With fewer, work comes late even while nothing happens: worth the full price. */
+  /** With fewer endpoints, answers are late even in steady state; worth the on-demand price. */
   atLeast: number
-  /** With so many, bursts and the loss of a failure domain are borne: worth a reclaimable endpoint's price. */
+  /** Enough endpoints to absorb bursts and the loss of a failure domain; worth the price of a reclaimable endpoint. */
   comfortably: number
 }
 
-/** Endpoints wanted in one failure domain. */
+/** Planned endpoints in one failure domain. */
 export interface DomainMix {
   failureDomain: FailureDomain
   onDemand: number
@@ -30,84 +31,84 @@
 }
 
 /**
- * Plans a pool's endpoints.
+ * Plans the endpoints of a pool in each failure domain.
  *
- * Reclaimable endpoints are spread evenly, since a reclaim takes all of a domain at once. What cannot be had of them is ordered on demand, as far
- * as the work needs it; an endpoint that is told to leave no longer counts, since another boots for longer than a notice lasts.
+ * Reclaimable endpoints are spread evenly, since a reclaim takes all of a domain at once. A shortfall is filled with on-demand endpoints up to
+ * `required`. Endpoints that are leaving do not count, since a replacement takes longer to boot than a reclaim notice lasts.
  *
- * While there are none to be had of them, the domain with the most is taken for lost next: what is left must carry the work without its piling up for
- * as long as on-demand endpoints boot.
+ * During a reclaim wave, the domain with the most reclaimable endpoints is assumed to be lost next. The remaining endpoints must then keep up with the
+ * work until on-demand endpoints have booted.
  *
- * On-demand endpoints that serve stay until enough others do, and the reclaimable ones that follow them get what room they leave: a domain's most
- * counts both kinds, so that ordering all reclaimable ones at once would stop the endpoints that still carry the work.
- * @example `spreadPlan({ justEnough: 2, atLeast: 3, comfortably: 6 }, scaling, fleet)` wants two reclaimable endpoints in each of three domains.
+ * Serving on-demand endpoints are kept until enough others serve, and their reclaimable replacements are limited to the capacity that they leave: a
+ * domain's maximum includes both kinds, so that ordering all reclaimable endpoints at once would stop those that still carry the work.
+ * @example `spreadPlan({ minimum: 2, required: 3, withHeadroom: 6 }, scaling, fleet)` plans two reclaimable endpoints in each of three domains.
  */
 export function spreadPlan (wanted: EndpointsWanted, scaling: Scaling, fleet: readonly DomainFleet[]): DomainMix[] {
   const domains = [...fleet].sort((a, b) => priceOf(scaling, a) - priceOf(scaling, b))
   const serving = sum(domains.map(({ reclaimable }) => reclaimable))
-  const afterNext = isWave(domains) ? wanted.justEnough - (serving - Math.max(...domains.map(({ reclaimable }) => reclaimable))) : 0
-  const kept = keepOnDemand(Math.max(wanted.atLeast - serving, afterNext), scaling, domains)
-  const room = domains.map((_, i) => scaling.max - kept[i]!)
-  const spread = scaling.reclaimableShare === undefined ? domains.map(() => 0) : spreadReclaimable(wanted.comfortably, room, domains)
-  const reclaimable = keepServing(spread, { atLeast: wanted.atLeast - sum(kept), room, domains })
-  const missing = Math.max(wanted.atLeast - (isWave(domains) ? serving : sum(reclaimable)), afterNext) - sum(kept)
-  const ordered = takeInOrder(missing, domains.map((_, i) => room[i]! - reclaimable[i]!))
+  const neededAfterReclaim = isReclaimWave(domains) ? wanted.justEnough - (serving - Math.max(...domains.map(({ reclaimable }) => reclaimable))) : 0
+  const kept = retainOnDemand(Math.max(wanted.atLeast - serving, neededAfterReclaim), scaling, domains)
+  const capacity = domains.map((_, i) => scaling.max - kept[i]!)
+  const spread = scaling.reclaimableShare === undefined ? domains.map(() => 0) : spreadReclaimable(wanted.comfortably, capacity, domains)
+  const reclaimable = retainServing(spread, { required: wanted.atLeast - sum(kept), room: capacity, domains })
+  const missing = Math.max(wanted.atLeast - (isReclaimWave(domains) ? serving : sum(reclaimable)), neededAfterReclaim) - sum(kept)
+  const ordered = fillInOrder(missing, domains.map((_, i) => capacity[i]! - reclaimable[i]!))
   return domains.map(({ failureDomain }, i) => ({
     failureDomain,
     reclaimable: reclaimable[i]!,
-    onDemand: Math.max(kept[i]! + ordered[i]!, leastOnDemand(scaling, domains[i]!, reclaimable[i]!))
+    onDemand: Math.max(kept[i]! + ordered[i]!, minOnDemand(scaling, domains[i]!, reclaimable[i]!))
   }))
 }
 
-/** Those that serve stay as far as they are wanted: first what each domain must have, then the cheapest. */
-function keepOnDemand (wanted: number, { min, max }: Scaling, domains: readonly DomainFleet[]): number[] {
-  const least = takeInOrder(wanted, domains.map(({ onDemand, reclaimable }) => Math.min(onDemand, Math.max(0, min - reclaimable))))
-  const more = takeInOrder(wanted - sum(least), domains.map(({ onDemand }, i) => Math.min(onDemand, max) - least[i]!))
-  return least.map((count, i) => count + more[i]!)
+/** Returns the serving on-demand endpoints to keep: first the minimum of each domain, then those of the cheapest domains. */
+function retainOnDemand (wanted: number, { min, max }: Scaling, domains: readonly DomainFleet[]): number[] {
+  const minimums = fillInOrder(wanted, domains.map(({ onDemand, reclaimable }) => Math.min(onDemand, Math.max(0, min - reclaimable))))
+  const extra = fillInOrder(wanted - sum(minimums), domains.map(({ onDemand }, i) => Math.min(onDemand, max) - minimums[i]!))
+  return minimums.map((count, i) => count + extra[i]!)
 }
 
-/** What a domain must have, until reclaimable endpoints serve there. */
-function leastOnDemand ({ min, max }: Scaling, domain: DomainFleet, reclaimable: number): number {
+/** Returns the on-demand endpoints that a domain needs for its minimum until reclaimable ones serve. */
+function minOnDemand ({ min, max }: Scaling, domain: DomainFleet, reclaimable: number): number {
   return Math.min(max - reclaimable, min - Math.min(reclaimable, domain.reclaimable))
 }
 
-/** Once a domain has none to give, others are reclaimed within seconds: the price that took the first takes the next. */
-function isWave (domains: readonly DomainFleet[]): boolean {
+/** Returns true if a domain has no reclaimable endpoints available; the price increase behind it leads to reclaims in other domains within seconds. */
+function isReclaimWave (domains: readonly DomainFleet[]): boolean {
   return domains.some(({ reclaimableToBeHad }) => !reclaimableToBeHad)
 }
 
-/** Evenly over the domains that have some to give; where there are none to be had, what is there stays. */
-function spreadReclaimable (target: number, room: readonly number[], domains: readonly DomainFleet[]): number[] {
-  const counts = domains.map((domain, i) => (domain.reclaimableToBeHad ? 0 : Math.min(domain.reclaimable, room[i]!)))
-  const evenly = Math.ceil(target / domains.length)
-  for (let left = target - sum(counts); left > 0; left--) {
-    let least = -1
+/** Spreads reclaimable endpoints evenly over the domains where they are available; the other domains keep those that they have. */
+function spreadReclaimable (target: number, capacity: readonly number[], domains: readonly DomainFleet[]): number[] {
+  const counts = domains.map((domain, i) => (domain.reclaimableToBeHad ? 0 : Math.min(domain.reclaimable, capacity[i]!)))
+  const evenShare = Math.ceil(target / domains.length)
+  for (let remaining = target - sum(counts); remaining > 0; remaining--) {
+    let smallest = -1
     domains.forEach((domain, i) => {
-      const open = domain.reclaimableToBeHad && counts[i]! < Math.min(room[i]!, evenly + SKEW)
-      if (open && (least < 0 || counts[i]! < counts[least]!)) least = i
+      const hasCapacity = domain.reclaimableToBeHad && counts[i]! < Math.min(capacity[i]!, evenShare + MAX_SKEW)
+      if (hasCapacity && (smallest < 0 || counts[i]! < counts[smallest]!)) smallest = i
     })
-    if (least < 0) break
-    counts[least]!++
+    if (smallest < 0) break
+    counts[smallest]!++
   }
   return counts
 }
 
-/** Gives up endpoints of a domain that has more than its part only once enough others serve. */
-function keepServing (spread: readonly number[], { atLeast, room, domains }: { atLeast: number, room: readonly number[], domains: readonly DomainFleet[] }): readonly number[] {
-  const serving = domains.map(({ reclaimable }, i) => Math.min(reclaimable, room[i]!))
+/** Keeps serving endpoints beyond a domain's planned number until enough others serve. */
+function retainServing (spread: readonly number[], { required, room: capacity, domains }: { required: number, room: readonly number[], domains: readonly DomainFleet[] }): readonly number[] {
+  const serving = domains.map(({ reclaimable }, i) => Math.min(reclaimable, capacity[i]!))
   const staying = sum(serving.map((count, i) => Math.min(count, spread[i]!)))
-  return staying >= atLeast ? spread : spread.map((count, i) => Math.max(count, serving[i]!))
+  return staying >= required ? spread : spread.map((count, i) => Math.max(count, serving[i]!))
 }
 
-/** Endpoints beyond its even part that a domain takes for others that have none to give: its own reclaim would take them all. */
-const SKEW = 1
+/** Maximum number of endpoints beyond its even share that a domain takes over from unavailable ones, since its own reclaim would take them all. */
+const MAX_SKEW = 1
 
-/** Takes as many as are wanted, from the first places that have some. */
-function takeInOrder (wanted: number, from: readonly number[]): number[] {
-  let left = Math.max(0, wanted)
-  return from.map((there) => {
-    const taken = Math.max(0, Math.min(left, there))
-    left -= taken
+/** Distributes a number over places in order, each up to its capacity. */
+function fillInOrder (wanted: number, capacities: readonly number[]): number[] {
+  let remaining = Math.max(0, wanted)
+  return capacities.map((capacity) => {
+    const taken = Math.max(0, Math.min(remaining, capacity))
+    remaining -= taken
     return taken
   })
 }
