--- a/core/answer/answer_buffer.ts
+++ b/core/answer/answer_buffer.ts
@@ -1,32 +1,33 @@
-/** The one place where an answer's pieces are put in order. */
+/** Reassembly of an answer from its chunks. */
 
-/** Part of an answer, as an attempt at an endpoint produced it. */
+/** Consecutive pieces of an answer from one attempt. */
 export interface Chunk<P = string> {
-  /** The attempt that produced it; a later attempt replaces an earlier one. */
+  /** Number of the attempt that produced the chunk; a later attempt replaces an earlier one. */
   attempt: number
-  /** Place of the first piece within the whole answer. */
+  /** Position of the first piece within the whole answer. */
   offset: number
   pieces: readonly P[]
 }
 
 /** Options of {@linkcode AnswerBuffer}. */
 export interface AnswerBufferOptions<P> {
-  /** Place of the first piece that is wanted: a caller that resumes has those before it. Default 0. */
+  /** Position of the first piece to collect; a caller that resumes already has those before it. Default 0. */
   from?: number
-  /** Tells whether two pieces at one place are the same. Default: identity. */
-  same? (a: P, b: P): boolean
+  /** Compares two pieces at the same position. Default: `Object.is`. */
+  isEqual? (a: P, b: P): boolean
 }
 
-/** Why a chunk was not taken, or `taken`. */
-export type Verdict = 'taken' | 'old-attempt' | 'doubled' | 'held' | 'conflict' | 'overflow'
+/** Result of {@linkcode AnswerBuffer.add}: `taken` if the chunk extended the answer, `held` if it is buffered behind a gap, otherwise why it was dropped. */
+export type AddResult = 'taken' | 'old-attempt' | 'doubled' | 'held' | 'conflict' | 'overflow'
 
-const MAX_HELD_PIECES = 4096
+/** Maximum number of pieces buffered behind gaps. */
+const MAX_OUT_OF_ORDER_PIECES = 4096
 
 /**
- * Collects an answer exactly once, in order, whatever order its chunks arrive in.
+ * Collects each piece of an answer exactly once and in order, regardless of the order in which its chunks arrive.
  *
- * Guards against a cancelled attempt that keeps sending (its pieces would appear twice), a chunk that overtakes another
- * (pieces swapped) and a doubled chunk. Offsets and attempt numbers decide, never arrival time.
+ * Guards against cancelled attempts that keep sending (their pieces would appear twice), reordered chunks (pieces would be swapped) and duplicate chunks.
+ * Only offsets and attempt numbers determine the result, never the arrival time.
  * @example
  * ```ts
  * const answer = new AnswerBuffer()
@@ -38,8 +39,8 @@
   readonly #from: number
   readonly #options: AnswerBufferOptions<P>
   readonly #pieces: P[] = []
-  readonly #held = new Map<number, readonly P[]>()
-  #heldPieces = 0
+  readonly #outOfOrder = new Map<number, readonly P[]>()
+  #outOfOrderPieces = 0
   #attempt = 0
   #total: number | undefined
 
@@ -48,69 +49,69 @@
     this.#options = options
   }
 
-  /** Place of the first piece. */
+  /** Position of the first piece. */
   get from (): number { return this.#from }
-  /** Pieces in order from the first one wanted. */
+  /** Contiguous pieces from position {@linkcode AnswerBuffer.from} on. */
   get pieces (): readonly P[] { return this.#pieces }
-  /** Place behind the last piece known without a gap. */
+  /** Position after the last contiguous piece. */
   get length (): number { return this.#from + this.#pieces.length }
-  /** The attempt whose chunks are taken. */
+  /** Number of the attempt whose chunks are accepted. */
   get attempt (): number { return this.#attempt }
-  /** True once the end is known and every piece before it is here. */
+  /** True once the end of the answer is known and every piece before it was received. */
   get whole (): boolean { return this.#total !== undefined && this.#total === this.length }
 
-  /** Takes chunks of a later attempt only; what the earlier one delivered stays. */
+  /** Accepts only chunks of a later attempt from now on; pieces that were already delivered are kept. */
   replaceAttempt (attempt: number): void {
     if (attempt <= this.#attempt) return
     this.#attempt = attempt
-    this.#held.clear()
-    this.#heldPieces = 0
+    this.#outOfOrder.clear()
+    this.#outOfOrderPieces = 0
     this.#total = undefined
   }
 
-  /** Adds a chunk and tells what became of it. */
-  add (chunk: Chunk<P>): Verdict {
+  /** Adds a chunk. */
+  add (chunk: Chunk<P>): AddResult {
     if (chunk.attempt !== this.#attempt) return 'old-attempt'
-    if (chunk.offset > this.length) return this.#hold(chunk)
+    if (chunk.offset > this.length) return this.#bufferOutOfOrder(chunk)
     const overlap = this.length - chunk.offset
-    if (!this.#agrees(chunk, overlap)) return 'conflict'
+    if (!this.#matchesDelivered(chunk, overlap)) return 'conflict'
     if (overlap >= chunk.pieces.length) return 'doubled'
     for (let i = overlap; i < chunk.pieces.length; i++) this.#pieces.push(chunk.pieces[i]!)
-    this.#releaseHeld()
+    this.#deliverBuffered()
     return 'taken'
   }
 
-  /** Records the explicit end of an attempt's answer. */
+  /** Records the explicit end of an attempt's answer. `total` is the length of the whole answer in pieces. */
   end (attempt: number, total: number): void {
     if (attempt === this.#attempt) this.#total = total
   }
 
-  #agrees (chunk: Chunk<P>, overlap: number): boolean {
+  #matchesDelivered (chunk: Chunk<P>, overlap: number): boolean {
     const shared = Math.min(overlap, chunk.pieces.length)
     for (let i = 0; i < shared; i++) {
-      const place = chunk.offset + i - this.#from
-      if (place >= 0 && !this.#isSame(this.#pieces[place]!, chunk.pieces[i]!)) return false
+      const index = chunk.offset + i - this.#from
+      if (index >= 0 && !this.#isEqual(this.#pieces[index]!, chunk.pieces[i]!)) return false
     }
     return true
   }
 
-  #isSame (a: P, b: P): boolean {
-    return this.#options.same ? this.#options.same(a, b) : Object.is(a, b)
+  #isEqual (a: P, b: P): boolean {
+    return this.#options.isEqual ? this.#options.isEqual(a, b) : Object.is(a, b)
   }
 
-  #hold (chunk: Chunk<P>): Verdict {
-    if (this.#held.has(chunk.offset)) return 'doubled'
-    if (this.#heldPieces + chunk.pieces.length > MAX_HELD_PIECES) return 'overflow'
-    this.#held.set(chunk.offset, chunk.pieces)
-    this.#heldPieces += chunk.pieces.length
+  #bufferOutOfOrder (chunk: Chunk<P>): AddResult {
+    if (this.#outOfOrder.has(chunk.offset)) return 'doubled'
+    if (this.#outOfOrderPieces + chunk.pieces.length > MAX_OUT_OF_ORDER_PIECES) return 'overflow'
+    this.#outOfOrder.set(chunk.offset, chunk.pieces)
+    this.#outOfOrderPieces += chunk.pieces.length
     return 'held'
   }
 
-  #releaseHeld (): void {
-    for (const [offset, pieces] of [...this.#held].sort(([a], [b]) => a - b)) {
+  #deliverBuffered (): void {
+    for (const [offset, pieces] of [...this.#outOfOrder].sort(([a], [b]) => a - b)) {
       if (offset > this.length) return
-      this.#held.delete(offset)
-      this.#heldPieces -= pieces.length
+      this.#outOfOrder.delete(offset)
+      this.#outOfOrderPieces -= pieces.length
       this.add({ attempt: this.#attempt, offset, pieces })
     }
   }
--- a/core/answer/answer_buffer_test.ts
+++ b/core/answer/answer_buffer_test.ts
@@ -10,31 +10,31 @@
   return edges.slice(1).map((edge, i) => ({ attempt, offset: edges[i]!, pieces: pieces.slice(edges[i], edge) }))
 }
 
-/** What the buffer is compared with: pieces appended in order of arrival. */
+/** Baseline: pieces appended in order of arrival. */
 function appendAll (chunks: readonly Chunk[]): string[] {
   return chunks.flatMap((chunk) => [...chunk.pieces])
 }
 
-test('an answer is whole and in order however its chunks are shuffled and doubled, where appending is not', () => {
-  let naiveWrong = 0
+test('an answer is whole and in order for shuffled and duplicated chunks, unlike with appending', () => {
+  let appendMismatches = 0
   const cuts = fc.array(fc.nat(60), { maxLength: 8 })
   fc.assert(fc.property(fc.integer({ min: 1, max: 60 }), cuts, fc.infiniteStream(fc.nat(1000)), (length, cutsAt, order) => {
     const pieces = answer(length)
     const chunks = chunksOf(pieces, cutsAt)
-    const arriving = [...chunks, ...chunks.slice(0, 2)].map((chunk) => ({ chunk, rank: order.next().value as number })).sort((a, b) => a.rank - b.rank).map(({ chunk }) => chunk)
+    const arrivals = [...chunks, ...chunks.slice(0, 2)].map((chunk) => ({ chunk, rank: order.next().value as number })).sort((a, b) => a.rank - b.rank).map(({ chunk }) => chunk)
     const buffer = new AnswerBuffer()
     buffer.replaceAttempt(1)
-    for (const chunk of arriving) buffer.add(chunk)
+    for (const chunk of arrivals) buffer.add(chunk)
     buffer.end(1, length)
     expect(buffer.pieces).toEqual(pieces)
     expect(buffer.whole).toBe(true)
-    if (appendAll(arriving).join() !== pieces.join()) naiveWrong++
+    if (appendAll(arrivals).join() !== pieces.join()) appendMismatches++
   }), { seed: SEED, numRuns: 200 })
-  expect(naiveWrong).toBeGreaterThan(100)
+  expect(appendMismatches).toBeGreaterThan(100)
 })
 
-test('a cancelled attempt that keeps sending adds nothing', () => {
-  // A caller sees words twice: its review moved to another host, and the first host, told to stop, goes on sending.
+test('chunks of a cancelled attempt that keeps sending are ignored', () => {
+  // Guards against duplicate text: a stream moved to another host while the first one, told to stop, kept sending.
   const buffer = new AnswerBuffer()
   buffer.replaceAttempt(1)
   buffer.add({ attempt: 1, offset: 0, pieces: ['a', 'b'] })
@@ -48,7 +48,7 @@
   expect(buffer.whole).toBe(true)
 })
 
-test('a chunk that contradicts what was delivered is refused, and a gap is held only so far', () => {
+test('a chunk that contradicts delivered pieces is rejected, and the buffer behind a gap is limited', () => {
   const buffer = new AnswerBuffer()
   buffer.replaceAttempt(1)
   buffer.add({ attempt: 1, offset: 0, pieces: ['a'] })
--- a/core/answer/answer_head.ts
+++ b/core/answer/answer_head.ts
@@ -1,15 +1,15 @@
-/** Status and headers of an answer, as an endpoint gave them. */
+/** Status and headers of an answer, as received from an endpoint. */
 
-/** One header, its name as it was written. */
+/** Header with its name in the original case. */
 export type Header = readonly [name: string, value: string]
 
-/** What comes before an answer's body. */
+/** Status and headers that precede the body of an answer. */
 export interface AnswerHead {
   status: number
   headers: readonly Header[]
 }
 
-/** An endpoint's own answer, whole. */
+/** Complete answer of an endpoint. */
 export interface WholeAnswer {
   head: AnswerHead
   body: Uint8Array
