--- a/core/catalog/allowed_work.ts
+++ b/core/catalog/allowed_work.ts
@@ -1,11 +1,11 @@
-/** What all client accounts together may ask for. */
+/** Total quota of all client accounts. */
 import type { AccountId } from '../ids/index.ts'
 import type { Account } from './catalog.ts'
 
 /**
- * Adds up the accounts' quotas of tokens.
- * @param accounts Any number of times each, as by their credentials.
- * @returns Tokens a second; an account without a quota in tokens adds nothing.
+ * Returns the sum of the token quotas of all accounts.
+ * @param accounts Accounts by credential; an account with several credentials counts once.
+ * @returns Tokens per second. Accounts without a token quota do not count.
  */
 export function allowedTokensPerS (accounts: Iterable<Account>): number {
   const quotas = new Map<AccountId, number>()
--- a/core/catalog/allowed_work_test.ts
+++ b/core/catalog/allowed_work_test.ts
@@ -4,7 +4,7 @@
 
 const account = (id: string, quota: Account['quota']): Account => ({ id: as(id), priority: undefined, quota })
 
-test('quotas of tokens are added up, an account with two credentials once', () => {
+test('token quotas are added up, counting an account with two credentials once', () => {
   const large = account('large', { unit: 'tokens', perS: 150_000, burst: 1, plainTokens: 200 })
   const accounts = [large, large, account('small', { unit: 'tokens', perS: 5000, burst: 1, plainTokens: 200 })]
   expect(allowedTokensPerS(accounts)).toBe(155_000)
--- a/core/catalog/catalog.ts
+++ b/core/catalog/catalog.ts
@@ -1,92 +1,97 @@
-/** Everything of the shared configuration that decides about requests, whichever form an operator wrote it in. */
+/** The part of the shared configuration that applies to requests, independent of its source format. */
 import type { AccountId, FailureDomain, PoolName } from '../ids/index.ts'
 import type { WorkClass } from '../work/index.ts'
 
-/** Part of a class's requests that one pool serves. */
+/** Share of a class's requests that one pool serves. */
 export interface PoolShare {
   pool: PoolName
-  /** In proportion to the other shares of the class. */
+  /** Weight relative to the other shares of the class. */
   weight: number
 }
 
-/** Requests of one host name whose path begins with a prefix, and the class they belong to. */
+/** Maps requests for a host name and a path prefix to their class and pools. */
 export interface Route {
   host: string
   pathPrefix: string
   cls: WorkClass
   pools: readonly PoolShare[]
-  /** Served without a credential. */
+  /** True if requests are served without a credential. */
   anonymous: boolean
 }
 
-/** What a client account may ask for over all daemons. */
+/** Rate limit of a client account across all daemons. */
 export interface Quota {
   unit: 'requests' | 'tokens'
+  /** Sustained rate in units per second. */
   perS: number
+  /** Burst size in units. */
   burst: number
-  /** Tokens that a request without a token count counts for. */
+  /** Tokens charged for a request without a token count. */
   plainTokens: number
 }
 
 /** A client account. */
 export interface Account {
   id: AccountId
-  /** Rank of all its work, 0 goes first; undefined where that of its classes counts. */
+  /** Priority of all its requests, 0 being the highest; undefined to use the priority of each class. */
   priority: number | undefined
-  /** Undefined for no limit. */
+  /** Undefined if unlimited. */
   quota: Quota | undefined
 }
 
-/** What a model engine of a pool has room for. */
+/** Capacity and features of the model engines of a pool. */
 export interface EngineRoom {
-  /** Requests decoded together. */
+  /** Requests decoded concurrently. */
   batchSlots: number
   kvTokens: number
   kvBytesPerToken: number
-  /** Longest time that a moved KV cache waits for its request, in milliseconds. */
+  /** Time for which a transferred KV cache is kept for its request, in milliseconds. */
   handleMs: number
-  /** KV cache can be moved between the pool's engines while a stream runs. */
+  /** True if the KV cache can be transferred between engines of the pool while a stream runs. */
   movesKv: boolean
-  /** KV cache can be copied to another engine while it grows. */
+  /** True if the KV cache can be backed up to another engine while it grows. */
   backsUpKv: boolean
 }
 
-/** How many endpoints a pool may have, and what they cost. */
+/** Limits and prices of a pool's endpoints. */
 export interface Scaling {
-  /** Fewest and most endpoints in each failure domain, both kinds together. */
+  /** Minimum number of endpoints in each failure domain, on-demand and reclaimable together. */
   min: number
+  /** Maximum number of endpoints in each failure domain, on-demand and reclaimable together. */
   max: number
-  /** From the order of an endpoint to its first request, in milliseconds. */
+  /** Time from ordering an endpoint to its first request, in milliseconds. */
   bootMs: number
-  /** Price of a reclaimable endpoint as a part of the on-demand price. */
+  /** Price of a reclaimable endpoint as a fraction of the on-demand price; undefined if the pool has none. */
   reclaimableShare: number | undefined
-  /** Price of a second of an on-demand endpoint. */
+  /** Price of an on-demand endpoint per second, by failure domain. */
   pricePerS: ReadonlyMap<FailureDomain, number>
 }
 
-/** Endpoints that serve the same work. */
+/** Group of endpoints that serve the same work. */
 export interface Pool {
   name: PoolName
   healthPath: string
-  /** Connections that one endpoint accepts from all daemons together. */
+  /** Maximum number of connections to one endpoint from all daemons together. */
   maxConnections: number
   engine: EngineRoom | undefined
   scaling: Scaling | undefined
 }
 
-/** What callers may send, and how long they may take. */
+/** Size and time limits for requests of callers. */
 export interface CallerLimits {
+  /** Maximum size of the headers in bytes. */
   headerBytes: number
+  /** Maximum size of the body in bytes. */
   bodyBytes: number
-  /** Longest time for a request's headers, in milliseconds. */
+  /** Timeout for receiving the headers of a request, in milliseconds. */
   headerMs: number
-  /** Longest time without a request on an open connection, in milliseconds. */
+  /** Timeout of idle connections, in milliseconds. */
   idleMs: number
 }
 
 /** One revision of the configuration. */
 export interface Catalog {
-  /** Orders catalogs; a daemon's only grows. */
+  /** Revision number; it never decreases on a daemon. */
   revision: number
   routes: readonly Route[]
   pools: ReadonlyMap<PoolName, Pool>
--- a/core/catalog/urgency.ts
+++ b/core/catalog/urgency.ts
@@ -1,30 +1,30 @@
-/** Which work goes first at a pool, by the ranks that operators gave. */
+/** Urgency of requests, derived from the priorities set by operators. */
 import type { PoolName } from '../ids/index.ts'
 import type { WorkClass } from '../work/index.ts'
 import type { Account, Route } from './catalog.ts'
 
 /**
- * Ranks of one catalog's work.
+ * Determines which requests of a catalog are urgent.
  *
- * Only streams are told apart: their prompts are read one after the other, and a long one delays all behind it. Plain calls of one endpoint have room
- * or none.
+ * Applies to streams only: their prompts are prefilled one after the other, so that a long prompt delays all behind it. Plain calls do not wait for each
+ * other; an endpoint either has capacity for them or not.
  */
 export class Urgency {
-  /** The first rank of the streams that each pool serves. */
-  readonly #first = new Map<PoolName, number>()
+  /** Highest priority (lowest number) among the stream classes of each pool. */
+  readonly #topPriority = new Map<PoolName, number>()
 
   constructor (routes: readonly Route[]) {
     for (const { cls, pools } of routes) {
       if (!cls.streaming) continue
-      for (const { pool } of pools) this.#first.set(pool, Math.min(cls.priority, this.#first.get(pool) ?? Infinity))
+      for (const { pool } of pools) this.#topPriority.set(pool, Math.min(cls.priority, this.#topPriority.get(pool) ?? Infinity))
     }
   }
 
-  /** The class of a request, urgent if it is of the first rank at a pool; an account's rank goes before its classes'. */
+  /** Returns the class of a request, marked urgent if it has the highest priority at one of its pools. The priority of the account overrides that of the class. */
   classOf ({ cls, pools }: Route, account: Account | undefined): WorkClass {
     if (!cls.streaming) return cls
     const rank = account?.priority ?? cls.priority
-    const urgent = pools.some(({ pool }) => rank <= (this.#first.get(pool) ?? rank))
+    const urgent = pools.some(({ pool }) => rank <= (this.#topPriority.get(pool) ?? rank))
     return urgent === cls.urgent ? cls : { ...cls, urgent }
   }
 }
--- a/core/catalog/urgency_test.ts
+++ b/core/catalog/urgency_test.ts
@@ -10,21 +10,21 @@
 const route = (of: WorkClass): Route => ({ host: 'a.example', pathPrefix: '/', cls: of, pools: [{ pool: POOL, weight: 1 }], anonymous: false })
 const account = (priority: number | undefined): Account => ({ id: as('council'), priority, quota: undefined })
 
-test('work of the first rank goes first, however long it takes', () => {
-  // Reviews that the operator ranks first wait behind letters, because letters have the shorter deadline.
+test('requests of the highest priority are urgent regardless of their deadline', () => {
+  // Guards against the highest-priority class waiting behind another class that has a shorter deadline.
   const [review, letter] = [route(cls('review', 0)), route(cls('letter', 1, { urgent: true }))]
   const urgency = new Urgency([review, letter])
   expect([urgency.classOf(review, undefined).urgent, urgency.classOf(letter, undefined).urgent]).toEqual([true, false])
 })
 
-test('an account\'s rank goes before that of its classes', () => {
+test('the priority of an account overrides that of the class', () => {
   const [review, letter] = [route(cls('review', 1)), route(cls('letter', 0))]
   const urgency = new Urgency([review, letter])
   expect([urgency.classOf(review, account(0)).urgent, urgency.classOf(letter, account(3)).urgent]).toEqual([true, false])
   expect(urgency.classOf(review, account(undefined)).urgent).toBe(false)
 })
 
-test('plain calls stay as they are', () => {
+test('plain calls are unchanged', () => {
   const plain = route(cls('check', 2, { streaming: false, urgent: true }))
   expect(new Urgency([plain]).classOf(plain, account(9))).toBe(plain.cls)
 })
