--- a/core/config/class_of.ts
+++ b/core/config/class_of.ts
@@ -1,11 +1,11 @@
-/** From a class as an operator wrote it to the class that the request path works with. */
+/** Conversion of configured classes. */
 import { as } from '../ids/index.ts'
 import { isShort, type WorkClass } from '../work/index.ts'
 import type { ClassConfig } from './schema.ts'
 
 /**
- * Builds the class that the request path works with.
- * @param model True when the class's pool is one of model engines: their streams can be resumed.
+ * Converts a class of the configuration to the form that the request path uses.
+ * @param model True if the pool of the class consists of model engines, whose streams can be resumed.
  */
 export function classOf (cls: ClassConfig, model: boolean): WorkClass {
   return {
--- a/core/config/config_test.ts
+++ b/core/config/config_test.ts
@@ -12,7 +12,7 @@
   expect(parseJsonc(settingsSchema, example(name, 'settings')).drainMs).toBe(25_000)
 })
 
-test('every wrong field is named with its path, what was expected and what was found', () => {
+test('every invalid field is reported with its path, the expected and the found value', () => {
   const cfg = config()
   const wrong = JSON.stringify({ ...cfg, deployment: 'Has Spaces', classes: [{ ...cfg.classes[0], delivery: 2 }, ...cfg.classes.slice(1)], weights: {} })
   const problems = problemsOf(() => parseJsonc(configSchema, wrong))
@@ -32,13 +32,12 @@
   ])
 })
 
-test('text that does not parse is refused with its line', () => {
+test('text that does not parse is rejected with its line number', () => {
   expect(problemsOf(() => parseJsonc(configSchema, '{\n "deployment": \n}'))[0]).toMatch(/^line 3: /)
 })
 
 test('an older revision never replaces a newer one', () => {
-  // A user sees a change revert. The watch event of revision 1 arrives after revision 2 came from a peer; the cause would be taking
-  // the last arrival for the newest.
+  // Guards against a change that appears to revert: the watch event of revision 1 may arrive after a peer has sent revision 2.
   const first = nextAccepted(undefined, config(), { id: 'a', operator: 'ada', atMs: 5 })
   const second = nextAccepted(first, { ...config(), wantsLeast: 'recomputed-work' }, { id: 'b', operator: 'bo', atMs: 1 })
   expect(newest(second, first)).toBe(second)
@@ -46,14 +45,14 @@
   expect(second.changes.at(-1)!.diff).toEqual([{ path: 'wantsLeast', from: 'cost', to: 'recomputed-work' }])
 })
 
-test('the trail shows that a credential changed, and not its hash', () => {
+test('the audit trail shows that a credential changed without revealing its hash', () => {
   const first = nextAccepted(undefined, config(), { id: 'a', operator: 'ada', atMs: 1 })
   const [account, ...others] = config().accounts
   const second = nextAccepted(first, { ...config(), accounts: [{ ...account!, credentialSha256: 'f'.repeat(64) }, ...others] }, { id: 'b', operator: 'ada', atMs: 2 })
   expect(second.changes.at(-1)!.diff).toEqual([{ path: 'accounts.ikeja-council.credential', from: `sha256 ${account!.credentialSha256.slice(0, 8)}`, to: 'sha256 ffffffff' }])
 })
 
-test('a diff names added, changed and removed fields', () => {
+test('a diff contains added, changed and removed fields', () => {
   expect(diff({ a: 1, b: { c: 2 } }, { b: { c: 3 }, d: 4 })).toEqual([
     { path: 'a', from: 1, to: undefined },
     { path: 'b.c', from: 2, to: 3 },
--- a/core/config/schema.ts
+++ b/core/config/schema.ts
@@ -1,4 +1,4 @@
-/** Shape of the shared configuration: classes of work with targets, accounts, operators, pools. No weights, no addresses. */
+/** Schema of the shared configuration: classes with their targets, pools, accounts and operators. It contains no weights and no addresses. */
 import { z } from 'zod'
 
 const NAME = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'lower-case letters, digits and hyphens')
@@ -26,7 +26,7 @@
 const accountSchema = z.strictObject({ name: NAME, credentialSha256: SHA256, classes: z.array(NAME).min(1) })
 const operatorSchema = z.strictObject({ name: NAME, credentialSha256: SHA256 })
 
-/** The shared configuration, before references are checked. */
+/** Schema of the shared configuration, including the checks for unique names and valid references. */
 export const configSchema = z.strictObject({
   deployment: NAME,
   wantsLeast: z.enum(['cost', 'recomputed-work']).describe('the outcome the deployment wants least of'),
@@ -41,14 +41,14 @@
 
 /** A validated configuration. */
 export type Config = z.infer<typeof configSchema>
-/** A class of work as an operator wrote it. */
+/** A class within a configuration. */
 export type ClassConfig = Config['classes'][number]
 /** A pool of endpoints within a configuration. */
-export type Pool = Config['pools'][number]
+export type PoolConfig = Config['pools'][number]
 
-type Issues = z.RefinementCtx
+type ValidationContext = z.RefinementCtx
 
-function checkUnique (cfg: Config, ctx: Issues): void {
+function checkUnique (cfg: Config, ctx: ValidationContext): void {
   for (const field of ['classes', 'pools', 'accounts', 'operators'] as const) {
     const seen = new Set<string>()
     cfg[field].forEach(({ name }, i) => {
@@ -58,7 +58,7 @@
   }
 }
 
-function checkReferences (cfg: Config, ctx: Issues): void {
+function checkReferences (cfg: Config, ctx: ValidationContext): void {
   const pools = new Set(cfg.pools.map((pool) => pool.name))
   const classes = new Set(cfg.classes.map((cls) => cls.name))
   cfg.classes.forEach((cls, i) => {
