--- a/core/once/claim.ts
+++ b/core/once/claim.ts
@@ -1,32 +1,32 @@
-/** Claims on idempotency keys: whoever claims a key first may run the request, nobody else ever may. */
+/** Claims on idempotency keys. Only the request that first claims a key may run. */
 import type { Branded, RequestId } from '../ids/index.ts'
 
 /** Hash of a client account and its idempotency key. */
 export type KeyHash = Branded<string, 'KeyHash'>
 
-/** A key that a request claimed. */
+/** Claim of a request on an idempotency key. */
 export interface Claim {
   key: KeyHash
-  /** Hash of the request's body, so that a repeated key with another body is refused. */
+  /** Hash of the request body, by which a reuse of the key with another body is rejected. */
   body: string
-  /** Names the daemon that holds the answer. */
+  /** Request that made the claim; its id contains the daemon that holds the answer. */
   request: RequestId
-  /** Milliseconds since the epoch. */
+  /** Time of the claim in milliseconds since the epoch. */
   atMs: number
 }
 
-/** What a claim came to. */
+/** Result of a claim. */
 export type ClaimResult =
   | { type: 'claimed' }
-  /** The key was claimed before, by a request with the same body. */
+  /** The key was already claimed by a request with the same body. */
   | { type: 'repeated', request: RequestId }
-  /** The key was claimed before, by a request with another body. */
+  /** The key was already claimed by a request with another body. */
   | { type: 'other-body' }
 
 /**
- * Compares a claim with the one that holds the key.
+ * Determines the result of a claim from the claim that holds the key.
  *
- * A claim whose write was unsure finds itself in the log afterwards: the same request id means that it was written after all.
+ * If the outcome of a write was uncertain, the log may contain the claim itself: the same request id means that the write succeeded.
  */
 export function judge (claim: Claim, holder: Claim): ClaimResult {
   if (holder.request === claim.request) return { type: 'claimed' }
--- a/core/once/shard_head.ts
+++ b/core/once/shard_head.ts
@@ -1,58 +1,59 @@
-/** One shard of the claim log: a head object that is replaced under its version, and sealed segments behind it. */
+/** Shard of the claim log: a head object, replaced by conditional writes, and the immutable segments that it refers to. */
 import type { Claim } from './claim.ts'
 
-/** A sealed part of the log. */
+/** Sealed, immutable part of the log. */
 export interface Segment {
-  /** Key of the object that holds its claims. */
+  /** Key of the object that contains its claims. */
   object: string
+  /** Number of claims. */
   count: number
-  /** Newest claim in it, in milliseconds since the epoch. */
+  /** Time of its newest claim in milliseconds since the epoch. */
   untilMs: number
 }
 
-/** What the store holds for a shard. A claim counts once a version of the head, or a segment it names, contains it. */
+/** Head object of a shard. A claim is effective once it is contained in a stored head or in a segment that the head refers to. */
 export interface ShardHead { recent: Claim[], segments: Segment[] }
 
-/** Claims in the head at which it is sealed: bounds the bytes of one write. */
+/** Number of claims at which the head is sealed; limits the size of a write. */
 export const SEAL_AT = 256
-/** Small segments at which they are merged: bounds the reads of a new owner. */
+/** Number of small segments at which they are merged; limits the reads of a new owner. */
 export const MERGE_AT = 16
-/** Claims of a merged segment that is not merged further: about 1 MB. */
-export const LARGEST_SEGMENT = 6000
+/** Number of claims from which a segment is not merged further; about 1 MB. */
+export const MAX_SEGMENT_CLAIMS = 6000
 
-/** The head of a shard that nobody has written. */
+/** Head of a shard that was not written yet. */
 export const EMPTY_HEAD: ShardHead = { recent: [], segments: [] }
 
-/** Adds claims to the head. */
+/** Returns the head with claims added. */
 export function append (head: ShardHead, claims: readonly Claim[]): ShardHead {
   return { ...head, recent: [...head.recent, ...claims] }
 }
 
-/** Replaces the recent claims by a segment that holds them. */
+/** Returns the head with its recent claims replaced by a segment that contains them. */
 export function seal (head: ShardHead, object: string): ShardHead {
   const segment: Segment = { object, count: head.recent.length, untilMs: newestMs(head.recent) }
   return { recent: [], segments: [...head.segments, segment] }
 }
 
-/** The segments that should become one, or none. */
+/** Returns the segments to merge into one; empty if there are too few. */
 export function mergeable (head: ShardHead): Segment[] {
-  const small = head.segments.filter((segment) => segment.count < LARGEST_SEGMENT)
+  const small = head.segments.filter((segment) => segment.count < MAX_SEGMENT_CLAIMS)
   return small.length >= MERGE_AT ? small : []
 }
 
-/** Replaces segments by the one that holds all their claims. */
+/** Returns the head with segments replaced by one that contains all their claims. */
 export function merge (head: ShardHead, merged: readonly Segment[], into: Segment): ShardHead {
   return { ...head, segments: [...head.segments.filter((segment) => !merged.includes(segment)), into] }
 }
 
-/** Drops segments that only hold claims older than `keptFromMs`. */
+/** Drops the segments whose claims are all older than `keptFromMs`, in milliseconds since the epoch. */
 export function dropOld (head: ShardHead, keptFromMs: number): { head: ShardHead, dropped: Segment[] } {
   const dropped = head.segments.filter((segment) => segment.untilMs < keptFromMs)
   if (dropped.length === 0) return { head, dropped }
   return { head: { ...head, segments: head.segments.filter((segment) => !dropped.includes(segment)) }, dropped }
 }
 
-/** Time of the newest claim, 0 for none. */
+/** Returns the time of the newest claim, or 0 if there is none. */
 export function newestMs (claims: readonly Claim[]): number {
   return claims.reduce((newest, claim) => Math.max(newest, claim.atMs), 0)
 }
