--- a/core/ids/ids.ts
+++ b/core/ids/ids.ts
@@ -1,40 +1,40 @@
-/** Branded identifiers, so that one kind of id cannot stand in for another. */
+/** Branded identifiers, which prevent that an id of one kind is used as one of another kind. */
 
 declare const brand: unique symbol
 
-/** A value of type `T` that only code naming the brand can make. */
+/** A value of type `T` that is distinguished from other values of `T` by its brand. */
 export type Branded<T, Name extends string> = T & { readonly [brand]: Name }
 
-/** One request, in the whole fleet; names the daemon that holds its answer. */
+/** A request, unique in the whole fleet. Contains the id of the daemon that holds its answer. */
 export type RequestId = Branded<string, 'RequestId'>
-/** One run of a daemon process. A restarted daemon has another id. */
+/** One run of a daemon process. A restarted daemon has a new id. */
 export type DaemonId = Branded<string, 'DaemonId'>
 /** One start of a model engine or plain service process. */
 export type EndpointId = Branded<string, 'EndpointId'>
-/** One host of the cloud. */
+/** A host of the cloud. */
 export type HostId = Branded<string, 'HostId'>
 /** A set of hosts that fail or are reclaimed together. */
 export type FailureDomain = Branded<string, 'FailureDomain'>
-/** A client account, known by its credential. */
+/** A client account, identified by its credentials. */
 export type AccountId = Branded<string, 'AccountId'>
 /** A class of work. */
 export type ClassName = Branded<string, 'ClassName'>
-/** Version of the software that an endpoint runs. */
+/** Version of the software that runs on an endpoint. */
 export type EndpointVersion = Branded<string, 'EndpointVersion'>
 /** A group of endpoints that serve the same work. */
 export type PoolName = Branded<string, 'PoolName'>
-/** Content of a request, the same for each request that asks for the same in the name of the same client account. */
+/** Fingerprint of a request's content, equal for requests of one client account with the same content. */
 export type Fingerprint = Branded<string, 'Fingerprint'>
 
 const SEPARATOR = '~'
 
-/** Marks a plain value as an id; the caller vouches for it. */
+/** Casts a plain string to an id without validation. */
 export function as<Id extends Branded<string, string>> (value: string): Id {
   return value as Id
 }
 
 /**
- * Builds a request id that names its daemon.
+ * Returns a request id that contains the id of its daemon.
  * @param daemon The daemon that holds the answer.
  * @param suffix Text unique within that daemon.
  * @example `requestId(as<DaemonId>('entry-1'), 'x7')` gives `entry-1~x7`.
@@ -44,10 +44,11 @@
 }
 
 /**
- * Builds the id of one start of an endpoint: a process that starts again under its old name holds nothing of before, so that nothing believed of
- * the one before may count for it.
- * @param name What the platform calls the endpoint, the same at each start.
- * @param startedAtMs When it started, in milliseconds since the epoch; undefined where each start has a name of its own.
+ * Returns the id of one start of an endpoint.
+ *
+ * A process that restarts under its old name has lost its state, so nothing known about the previous one may be applied to it.
+ * @param name Name of the endpoint on the platform, the same for each start.
+ * @param startedAtMs Start time in milliseconds since the epoch; undefined if each start has its own name.
  * @example `endpointId('i-7', 1700000000000)` gives `i-7~1700000000000`.
  */
 export function endpointId (name: string, startedAtMs: number | undefined): EndpointId {
@@ -55,8 +56,8 @@
 }
 
 /**
- * Tells whether an id is that of a start of an endpoint.
- * @param name What the platform calls the endpoint.
+ * Returns true if an id belongs to a start of the named endpoint.
+ * @param name Name of the endpoint on the platform.
  * @example `isStartOf('i-7', endpointId('i-7', 1700000000000))` is true.
  */
 export function isStartOf (name: string, id: EndpointId): boolean {
@@ -66,8 +67,8 @@
 }
 
 /**
- * Reads the daemon out of a request id.
- * @returns The daemon, or undefined when the text is no request id.
+ * Extracts the daemon id from a request id.
+ * @returns The daemon id, or undefined if the text is not a request id.
  */
 export function daemonOf (id: string): DaemonId | undefined {
   const at = id.indexOf(SEPARATOR)
