--- a/core/tally/tally.ts
+++ b/core/tally/tally.ts
@@ -1,17 +1,17 @@
-/** Running totals that all daemons add to: each writes only its own, and tells others. */
+/** Distributed counters (grow-only counter CRDT): each daemon increments its own total and gossips it. */
 import type { DaemonId } from '../ids/index.ts'
 
-/** One daemon's total of one key. */
+/** Total of one key on one daemon. */
 export type TallyEntry = readonly [key: string, total: number]
 
-/** Totals of one daemon, as another passes them on. */
+/** Totals of one daemon, as sent by itself or forwarded by another. */
 export interface TallySheet { daemon: DaemonId, entries: TallyEntry[] }
 
 /**
- * Totals by daemon and key.
+ * Grow-only counters by daemon and key.
  *
- * Totals only grow, so a message that is doubled, late or passed on by a third daemon changes nothing, and one that is lost is made up for by
- * the next. What a daemon that died had told is still counted.
+ * Totals never decrease, so duplicate, late and forwarded messages have no effect, and a lost message is made up for by the next. The totals that a daemon
+ * published before it failed remain included.
  */
 export class Tally {
   readonly #self: DaemonId
@@ -23,33 +23,33 @@
     this.#totals.set(self, new Map())
   }
 
-  /** Adds to this daemon's own total. */
+  /** Increases this daemon's own total. */
   add (key: string, amount: number): void {
     const own = this.#totals.get(this.#self)!
     own.set(key, (own.get(key) ?? 0) + amount)
     this.#changed.add(key)
   }
 
-  /** This daemon's own total. */
+  /** Returns this daemon's own total. */
   own (key: string): number {
     return this.#totals.get(this.#self)!.get(key) ?? 0
   }
 
-  /** The total over all daemons, as far as it was told. */
+  /** Returns the sum of the known totals of all daemons. */
   sum (key: string): number {
     let sum = 0
     for (const totals of this.#totals.values()) sum += totals.get(key) ?? 0
     return sum
   }
 
-  /** How many daemons have told a total of the key. */
+  /** Returns the number of daemons with a known total for the key. */
   tellers (key: string): number {
     let count = 0
     for (const totals of this.#totals.values()) if (totals.has(key)) count++
     return count
   }
 
-  /** Every key that begins with a prefix, on any daemon. */
+  /** Returns the keys with a prefix, over all daemons. */
   keys (prefix: string): Set<string> {
     const keys = new Set<string>()
     for (const totals of this.#totals.values()) {
@@ -58,14 +58,14 @@
     return keys
   }
 
-  /** Every total of a key that begins with a prefix, by daemon. */
+  /** Iterates over the totals of each daemon whose key has a prefix. */
   * entries (prefix: string): Iterable<{ daemon: DaemonId, key: string, total: number }> {
     for (const [daemon, totals] of this.#totals) {
       for (const [key, total] of totals) if (key.startsWith(prefix)) yield { daemon, key, total }
     }
   }
 
-  /** Own totals that changed since this was last asked. */
+  /** Returns the own totals that changed since the previous call. */
   takeChanges (): TallyEntry[] {
     const own = this.#totals.get(this.#self)!
     const entries = [...this.#changed].filter((key) => own.has(key)).map((key): TallyEntry => [key, own.get(key)!])
@@ -73,17 +73,17 @@
     return entries
   }
 
-  /** Everything known of one daemon. */
+  /** Returns all known totals of one daemon. */
   sheetOf (daemon: DaemonId): TallyEntry[] {
     return [...this.#totals.get(daemon) ?? []]
   }
 
-  /** Everything known, for a daemon that joins. */
+  /** Returns all known totals, for a joining daemon. */
   sheets (): TallySheet[] {
     return [...this.#totals.keys()].map((daemon) => ({ daemon, entries: this.sheetOf(daemon) }))
   }
 
-  /** Takes in what was told of one daemon, by itself or by another. */
+  /** Merges the totals of a daemon. Totals of this daemon itself are ignored. */
   receive (sheet: TallySheet): void {
     if (sheet.daemon === this.#self) return
     const totals = this.#totals.get(sheet.daemon) ?? new Map<string, number>()
@@ -91,14 +91,14 @@
     for (const [key, total] of sheet.entries) totals.set(key, Math.max(total, totals.get(key) ?? 0))
   }
 
-  /** Forgets the keys that match, on all daemons. */
+  /** Removes matching keys of all daemons. */
   forget (matches: (key: string) => boolean): void {
     for (const totals of this.#totals.values()) {
       for (const key of totals.keys()) if (matches(key)) totals.delete(key)
     }
   }
 
-  /** Forgets a daemon that is long gone. */
+  /** Removes the totals of a departed daemon. */
   forgetDaemon (daemon: DaemonId): void {
     if (daemon !== this.#self) this.#totals.delete(daemon)
   }
