--- a/core/time/delay.ts
+++ b/core/time/delay.ts
@@ -1,6 +1,6 @@
 /**
- * Waits on the runtime's clock, which tests pause and advance.
- * @param ms Milliseconds.
+ * Returns a promise that resolves after a delay. Uses the timers of the runtime, which tests can pause and advance.
+ * @param ms Delay in milliseconds.
  * @example `await delay(100)`
  */
 export function delay (ms: number): Promise<void> {
--- a/core/time/shared_clock.ts
+++ b/core/time/shared_clock.ts
@@ -1,48 +1,49 @@
-/** The time of day as most daemons see it, on hosts whose own may jump. */
+/** Time of day agreed between daemons, for hosts whose system clock may jump. */
 
-/** Smaller differences are the way between two daemons and late timers, in milliseconds. */
-const LEAST_CORRECTION_MS = 50
+/** Minimum correction in milliseconds; smaller differences are due to network latency and late timers. */
+const MIN_CORRECTION_MS = 50
 
 /** Options of {@linkcode SharedClock}. */
 export interface SharedClockOptions {
-  /** Time of day in milliseconds since the epoch, and the steady clock at the same moment. */
+  /** Initial time of day in milliseconds since the epoch. */
   wallMs: number
+  /** Steady clock in milliseconds at the same moment. */
   steadyMs: number
 }
 
 /**
- * Time of day that runs with the steady clock and is corrected by what other daemons tell.
+ * Time of day that advances with the steady clock and is corrected by the clocks of other daemons.
  *
- * The host's time of day is read once: a later jump of it changes nothing. A process that starts while it is off, or a host that was suspended
- * and whose steady clock stood still, is put right by the median of the others, as long as fewer than half of them are off.
+ * The system clock is read only once, so later jumps have no effect. A wrong system clock at the start of the process, or a steady clock that stopped while
+ * the host was suspended, is corrected by the median of all daemons, as long as fewer than half of them are wrong.
  */
 export class SharedClock {
-  #aheadMs: number
-  readonly #others = new Map<string, number>()
+  #offsetMs: number
+  readonly #peerOffsetsMs = new Map<string, number>()
 
   constructor (options: SharedClockOptions) {
-    this.#aheadMs = options.wallMs - options.steadyMs
+    this.#offsetMs = options.wallMs - options.steadyMs
   }
 
-  /** Time of day in milliseconds since the epoch. */
+  /** Returns the time of day in milliseconds since the epoch. */
   now (steadyMs: number): number {
-    return steadyMs + this.#aheadMs
+    return steadyMs + this.#offsetMs
   }
 
-  /** Takes in another daemon's time of day. */
+  /** Records the time of day of another daemon and corrects this clock if it differs from the median. */
   told (daemon: string, wallMs: number, steadyMs: number): void {
-    this.#others.set(daemon, wallMs - steadyMs)
-    const median = this.#median()
-    if (Math.abs(median - this.#aheadMs) > LEAST_CORRECTION_MS) this.#aheadMs = median
+    this.#peerOffsetsMs.set(daemon, wallMs - steadyMs)
+    const median = this.#medianOffsetMs()
+    if (Math.abs(median - this.#offsetMs) > MIN_CORRECTION_MS) this.#offsetMs = median
   }
 
-  /** Forgets a daemon that is gone. */
+  /** Removes a departed daemon. */
   forget (daemon: string): void {
-    this.#others.delete(daemon)
+    this.#peerOffsetsMs.delete(daemon)
   }
 
-  #median (): number {
-    const sorted = [...this.#others.values(), this.#aheadMs].sort((a, b) => a - b)
+  #medianOffsetMs (): number {
+    const sorted = [...this.#peerOffsetsMs.values(), this.#offsetMs].sort((a, b) => a - b)
     return sorted[Math.floor(sorted.length / 2)]!
   }
 }
--- a/core/time/steady_now.ts
+++ b/core/time/steady_now.ts
@@ -1,8 +1,8 @@
 /**
- * Reads the steady clock, in milliseconds since the process started.
+ * Returns the monotonic clock in milliseconds since the process started.
  *
- * The time of day may jump by seconds; a deadline, a pause or a lease measured by it would then be over too soon or never. Only what is told
- * to other processes or to people is in time of day.
+ * The system clock may jump by seconds, so that deadlines, delays and leases measured with it would end too early or never. Time of day is used only for
+ * values that are shown to users or sent to other processes.
  * @example `const startedAtMs = steadyNow()`
  */
 export function steadyNow (): number {
