--- a/core/usage/usage_ledger.ts
+++ b/core/usage/usage_ledger.ts
@@ -1,10 +1,10 @@
-/** Counts of requests that began, by window and client account, over all daemons. */
+/** Counts of started requests over all daemons, by time window and client account. */
 import type { AccountId } from '../ids/index.ts'
 import type { Tally } from '../tally/index.ts'
 
-/** Requests of each account that began in one window. */
+/** Number of requests of each account that started in one window. */
 export interface WindowCounts {
-  /** Number of the window since the epoch. */
+  /** Index of the window since the epoch. */
   window: number
   counts: Record<AccountId, number>
 }
@@ -12,7 +12,7 @@
 const PREFIX = 'began/'
 const SEPARATOR = '/'
 
-/** Keeps the counts in a tally, so that they outlive the daemon that counted. */
+/** Counts requests in a {@linkcode Tally}, so that the counts outlive the daemon that recorded them. */
 export class UsageLedger {
   readonly #tally: Tally
   readonly #windowMs: number
@@ -23,34 +23,34 @@
     this.#windowMs = options.windowMs
   }
 
-  /** A request began at a time of day. */
+  /** Records the start of a request, at a time of day in milliseconds since the epoch. */
   began (account: AccountId, wallMs: number): void {
-    this.#tally.add(keyOf(Math.floor(wallMs / this.#windowMs), account), 1)
+    this.#tally.add(formatKey(Math.floor(wallMs / this.#windowMs), account), 1)
   }
 
-  /** The counts of windows, the first and the last included. */
+  /** Returns the counts of the windows `from` to `to`, inclusive. */
   counts (from: number, to: number): WindowCounts[] {
     const sums = new Map<number, Record<AccountId, number>>()
     for (let window = from; window <= to; window++) sums.set(window, {})
     for (const key of this.#tally.keys(PREFIX)) {
-      const { window, account } = partsOf(key)
+      const { window, account } = parseKey(key)
       const counts = sums.get(window)
       if (counts) counts[account] = this.#tally.sum(key)
     }
     return [...sums].map(([window, counts]) => ({ window, counts }))
   }
 
-  /** Forgets windows that will not be asked for again. */
+  /** Removes the counts of all windows before `window`. */
   forgetBefore (window: number): void {
-    this.#tally.forget((key) => key.startsWith(PREFIX) && partsOf(key).window < window)
+    this.#tally.forget((key) => key.startsWith(PREFIX) && parseKey(key).window < window)
   }
 }
 
-function keyOf (window: number, account: AccountId): string {
+function formatKey (window: number, account: AccountId): string {
   return `${PREFIX}${window}${SEPARATOR}${account}`
 }
 
-function partsOf (key: string): { window: number, account: AccountId } {
+function parseKey (key: string): { window: number, account: AccountId } {
   const text = key.slice(PREFIX.length)
   const at = text.indexOf(SEPARATOR)
   return { window: Number(text.slice(0, at)), account: text.slice(at + 1) as AccountId }
