--- a/core/work/demand.ts
+++ b/core/work/demand.ts
@@ -1,50 +1,50 @@
-/** What one request asks of an endpoint, in tokens. */
+/** Demand of requests on endpoints, in tokens. */
 
-/** A part of a prompt; requests whose prompts begin with the same parts can share their KV cache. */
+/** Block of a prompt. Requests whose prompts start with the same blocks can share their KV cache. */
 export interface PromptPart {
-  /** Same for the same text behind the same parts. */
+  /** Identifies the text of the block together with all blocks before it. */
   key: string
   tokens: number
 }
 
-/** Size of one request. */
+/** Demand of one request. */
 export interface Demand {
   promptTokens: number
-  /** Most tokens that the answer may have. */
+  /** Maximum number of tokens of the answer. */
   maxTokens: number
-  /** Tokens that the answer will probably have. */
+  /** Expected number of tokens of the answer. */
   expectedTokens: number
-  /** The prompt's parts in order; empty when nothing is known of them. */
+  /** Blocks of the prompt in order; empty if unknown. */
   parts: readonly PromptPart[]
 }
 
-/** A plain call, which asks for no tokens. */
+/** Demand of a plain call, which uses no tokens. */
 export const NO_TOKENS: Demand = { promptTokens: 0, maxTokens: 0, expectedTokens: 0, parts: [] }
 
 const CHARS_PER_TOKEN = 4
 
-/** Estimates prompt tokens from characters; engines report the exact number later. */
+/** Estimates the number of tokens of a text from its length; engines report the exact number later. */
 export function estimateTokens (text: string): number {
   return Math.ceil(text.length / CHARS_PER_TOKEN)
 }
 
-/** Options of {@linkcode partsOf}. */
-export interface PartsOfOptions {
-  /** Hashes a text to a number. */
+/** Options of {@linkcode splitPrompt}. */
+export interface SplitPromptOptions {
+  /** Hash function. */
   hash (text: string): number
-  /** Characters of one part. Default 512. */
+  /** Length of a block in characters. Default 512. */
   blockLength?: number
 }
 
 const DEFAULT_BLOCK_LENGTH = 512
 
 /**
- * Cuts a prompt into parts of equal length, the rest left out.
+ * Splits a prompt into blocks of equal length; an incomplete last block is omitted.
  *
- * Each key stands for its block and all before it, so that a long prompt is hashed once and not once for each block.
- * @example `partsOf('x'.repeat(1024), { hash })` gives two parts of 128 tokens.
+ * The key of a block is the hash of the block and the key before it, so that each character of the prompt is hashed only once.
+ * @example `splitPrompt('x'.repeat(1024), { hash })` gives two blocks of 128 tokens.
  */
-export function partsOf (prompt: string, options: PartsOfOptions): PromptPart[] {
+export function partsOf (prompt: string, options: SplitPromptOptions): PromptPart[] {
   const length = options.blockLength ?? DEFAULT_BLOCK_LENGTH
   const parts: PromptPart[] = []
   let key = 0
--- a/core/work/work_class.ts
+++ b/core/work/work_class.ts
@@ -1,39 +1,39 @@
-/** A class of work as the request path sees it, whichever configuration it came from. */
+/** Classes of work as the request path uses them, independent of the source of the configuration. */
 import type { ClassName } from '../ids/index.ts'
 
-/** Requests with the same targets and the same rules for repeating them. */
+/** Class of requests with the same targets and retry rules. */
 export interface WorkClass {
   name: ClassName
-  /** May run more than once: a read, or a stream that can go on elsewhere behind what the caller has. */
+  /** True if a request may run more than once: a read, or a stream that can continue elsewhere after the pieces that the caller already has. */
   idempotent: boolean
-  /** Answered piece by piece by a model engine; other classes are plain calls. */
+  /** True if a model engine streams the answer; other classes are plain calls. */
   streaming: boolean
-  /** A stream can go on at another endpoint behind the pieces that the caller already has. */
+  /** True if a stream can continue at another endpoint after the pieces that the caller already has. */
   resumable: boolean
-  /** Stop the work when the caller disconnects. */
+  /** True if requests are cancelled when the caller disconnects. */
   cancelOnLeave: boolean
-  /** Endpoints that one request may be sent to, the first included. */
+  /** Maximum number of endpoints that a request may be sent to, including the first. */
   maxAttempts: number
-  /** Rank among classes; 0 goes first. */
+  /** Priority among classes; 0 is the highest. */
   priority: number
-  /** Waits before others, may use the reserve of batch slots, and its prompts are read first. */
+  /** True if requests precede others in the queue, may use the reserved batch slots, and have their prompts prefilled first. */
   urgent: boolean
   latency: {
-    /** Time to the first token, or to the whole answer of a plain call, in milliseconds. */
+    /** Target for the time to the first token, or to the whole answer of a plain call, in milliseconds. */
     firstTokenMs: number
-    /** Longest pause between pieces in milliseconds; undefined where none was asked for. */
+    /** Target for the longest pause between pieces, in milliseconds; undefined if there is none. */
     betweenTokensMs: number | undefined
-    /** Longest time until the whole answer in milliseconds, from acceptance. */
+    /** Time from acceptance to the whole answer, in milliseconds. */
     deadlineMs: number
   }
-  /** Fraction of accepted requests to answer by the deadline. */
+  /** Target fraction of accepted requests answered by the deadline. */
   delivery: number
 }
 
-/** Longest deadline of a class that goes first where no rank says otherwise: its work is short. In milliseconds. */
-const URGENT_DEADLINE_MS = 5000
+/** Longest deadline, in milliseconds, of a class that is urgent by default. */
+const MAX_URGENT_DEADLINE_MS = 5000
 
-/** True for a class whose work is short enough to go first. */
+/** Returns true if the deadline of a class is short enough for it to be urgent by default. */
 export function isShort (latency: { deadlineMs: number }): boolean {
-  return latency.deadlineMs <= URGENT_DEADLINE_MS
+  return latency.deadlineMs <= MAX_URGENT_DEADLINE_MS
 }
