--- a/core/fleet/endpoint_demand.ts
+++ b/core/fleet/endpoint_demand.ts
@@ -39,7 +39,7 @@
   readonly #options: EndpointDemandOptions
   #samples: Sample[] = []
   #reporters = 0
-  #levels: Array<{ atMs: number, engines: number }> = []
+  #levels: Array<{ atMs: number, demand: number }> = []
   #initialEngines: number
   /** End of the time for which the initial demand is assumed. */
   #initialUntilMs: number
@@ -52,8 +52,8 @@
   }
 
   /** Sets the demand that is assumed until work was measured. */
-  assume (engines: number): void {
-    this.#initialEngines = engines
+  assume (demand: number): void {
+    this.#initialEngines = demand
   }
 
   /** Returns true at the first start of the system, until work was measured for a while or none has arrived for a long time. */
@@ -85,10 +85,10 @@
     this.#samples.push({ atMs: now, tokens })
     const tokensPerS = Math.max(this.#tokensPerS(RATE_WINDOW_MS), this.#tokensPerS(SURGE_WINDOW_MS) * SURGE_WEIGHT)
     this.#levels = this.#levels.filter((level) => level.atMs > now - SCALE_DOWN_HOLD_MS)
-    this.#levels.push({ atMs: now, engines: tokensPerS * msPerToken / MS_PER_S })
-    const engines = Math.max(...this.#levels.map((level) => level.engines))
+    this.#levels.push({ atMs: now, demand: tokensPerS * msPerToken / MS_PER_S })
+    const peak = Math.max(...this.#levels.map((level) => level.demand))
     this.#noteFirstWork(tokens, now)
-    return now <= this.#initialUntilMs ? Math.max(engines, this.#initialEngines) : engines
+    return now <= this.#initialUntilMs ? Math.max(peak, this.#initialEngines) : peak
   }
 
   /** After the first work, the initial demand is held only as long as any other sample. */
