--- a/core/config/config_test.ts
+++ b/core/config/config_test.ts
@@ -37,7 +37,8 @@
 })
 
 test('an older revision never replaces a newer one', () => {
-  // Guards against a change that appears to revert: the watch event of revision 1 may arrive after a peer has sent revision 2.
+  // Guards against a change that appears to revert: the watch event of revision 1 may arrive after a peer
+  // has sent revision 2, so the last arrival is not always the newest.
   const first = nextAccepted(undefined, config(), { id: 'a', operator: 'ada', atMs: 5 })
   const second = nextAccepted(first, { ...config(), wantsLeast: 'recomputed-work' }, { id: 'b', operator: 'bo', atMs: 1 })
   expect(newest(second, first)).toBe(second)
--- a/core/fleet/endpoint_demand.ts
+++ b/core/fleet/endpoint_demand.ts
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Records the total and returns the highest demand of the last 15 seconds.
+   * Records the total and returns the highest demand within the last {@linkcode SCALE_DOWN_HOLD_MS}.
    *
    * The rate is measured anew when the number of daemons changes, since a new daemon adds all that it has counted since its start.
    * @param total Tokens requested since the start, over all daemons.
--- a/core/fleet/slot_demand.ts
+++ b/core/fleet/slot_demand.ts
@@ -19,7 +19,10 @@
   readonly #peak = new ScaleDown(SCALE_DOWN_HOLD_MS)
   #smoothed = 0
 
-  /** Records the current usage and returns the highest demand of the last 15 seconds in engines, possibly fractional. */
+  /**
+   * Records the current usage and returns the highest demand within the last {@linkcode SCALE_DOWN_HOLD_MS}.
+   * @returns Engines, possibly fractional.
+   */
   engines ({ running, slots }: SlotUsage, now: number): number {
     this.#smoothed += SMOOTHING * (running / Math.max(1, slots) - this.#smoothed)
     return this.#peak.smooth(this.#smoothed, now)
--- a/core/ids/ids.ts
+++ b/core/ids/ids.ts
@@ -1,4 +1,4 @@
-/** Branded identifiers, which prevent that an id of one kind is used as one of another kind. */
+/** Branded identifiers, which prevent an id of one kind from being used in place of another. */
 
 declare const brand: unique symbol
 
--- a/core/lease/lease.ts
+++ b/core/lease/lease.ts
@@ -90,7 +90,11 @@
   return { ...record, ttlMs: 0, renewal: writeId }
 }
 
-/** Returns the fencing number for an order sent now, or undefined if this daemon should send none. A local check only: endpoints that check fencing numbers have the final decision. */
+/**
+ * Returns the fencing number for an order sent now, or undefined if this daemon should send none.
+ *
+ * This is only a hint. Engines that check fencing numbers have the final decision.
+ */
 export function fencingNow (state: LeaseState, self: DaemonId, now: number): number | undefined {
   const { record, seenAtMs } = state
   return record?.holder === self && now < seenAtMs + record.ttlMs ? record.fencing : undefined
--- a/core/membership/membership.ts
+++ b/core/membership/membership.ts
@@ -99,13 +99,13 @@
     this.#declaredState = change.state ?? this.#declaredState
     const member: Member = { ...this.self, state: this.#declaredState, ...change, incarnation: this.self.incarnation + 1 }
     this.#setMember(member, now)
-    return [{ type: 'member', member }, ...this.#broadcast({ members: [member], facts: [] })]
+    return [{ type: 'member', member }, ...this.#sendToNeighbours({ members: [member], facts: [] })]
   }
 
   /** Publishes a fact and gossips it. A version that is not newer is ignored. */
   setFact (fact: Fact, now: number): MembershipEffect[] {
     if (!this.#mergeFact(fact, now)) return []
-    return this.#broadcast({ members: [], facts: [fact] })
+    return this.#sendToNeighbours({ members: [], facts: [fact] })
   }
 
   /** Sends heartbeats and periodic digests, suspects silent neighbours and expires old entries. To be called every {@linkcode HEARTBEAT_MS}. */
@@ -138,7 +138,7 @@
     for (const member of members) effects.push({ type: 'member', member })
     const refuted = this.#refute(now)
     if (this.#livenessVersion !== livenessBefore) effects.push(...this.#updateNeighbours(now))
-    if (members.length + facts.length > 0) effects.push(...this.#broadcast({ members, facts }, from))
+    if (members.length + facts.length > 0) effects.push(...this.#sendToNeighbours({ members, facts }, from))
     effects.push(...refuted)
     if (gossip.digest !== undefined && gossip.digest !== this.digest()) effects.push({ type: 'send', to: from, gossip: this.snapshot() })
     if (gossip.whole && this.#hasNewerEntriesThan(gossip)) effects.push({ type: 'send', to: from, gossip: { ...this.snapshot(), whole: false } })
@@ -202,7 +202,7 @@
     }
     for (const member of demoted) this.#setMember(member, now)
     if (demoted.length === 0) return []
-    return [...demoted.map((member): MembershipEffect => ({ type: 'member', member })), ...this.#updateNeighbours(now), ...this.#broadcast({ members: demoted, facts: [] })]
+    return [...demoted.map((member): MembershipEffect => ({ type: 'member', member })), ...this.#updateNeighbours(now), ...this.#sendToNeighbours({ members: demoted, facts: [] })]
   }
 
   #expireEntries (now: number): void {
@@ -247,7 +247,7 @@
    * Sends facts to all neighbours and member records to the successors only. Each new configuration changes every record, and sent to all
    * neighbours each record would cross each link twice. A record that is lost is repaired by the next digest.
    */
-  #broadcast (gossip: Gossip, except?: DaemonId): MembershipEffect[] {
+  #sendToNeighbours (gossip: Gossip, except?: DaemonId): MembershipEffect[] {
     const { facts, members } = gossip
     return this.neighbours.filter((id) => id !== except).flatMap((to): MembershipEffect[] => {
       const records = this.#successors.includes(to) ? members : []
--- a/core/outcome/outcome.ts
+++ b/core/outcome/outcome.ts
@@ -2,7 +2,7 @@
 import type { WholeAnswer } from '../answer/index.ts'
 
 /**
- * Final result of a request as reported to its caller.
+ * Final result of a request as reported to its caller; exactly one applies.
  *
  * `not-run` is a guarantee that no endpoint started the request; `unknown` means that it may have run.
  */
--- a/core/request/overdue.ts
+++ b/core/request/overdue.ts
@@ -19,7 +19,7 @@
 
 /** Silence after which a stream is overdue, in multiples of its longest pause. A full batch makes pauses 1.4 times as long, a long prompt in the same batch 3 times. */
 const OVERDUE_PAUSES = 6
-/** Time to the first piece after which an attempt is overdue, in multiples of the prediction. In the logs, 95% of first pieces arrived within 2.1 times the prediction. */
+/** Wait for the first piece after which an attempt is overdue, in multiples of the prediction; 95% of first pieces arrived within 2.1 times theirs. */
 const OVERDUE_PREDICTIONS = 3
 /** Minimum silence, in milliseconds. Shorter silences are not significant, since lost packets are retransmitted after 200 to 400 ms. */
 const MIN_SILENCE_MS = 500
--- a/core/work/work_class.ts
+++ b/core/work/work_class.ts
@@ -30,7 +30,7 @@
   delivery: number
 }
 
-/** Longest deadline, in milliseconds, of a class that is urgent by default. */
+/** Longest deadline, in milliseconds, of a class that is urgent by default because its work is short. */
 const MAX_URGENT_DEADLINE_MS = 5000
 
 /** Returns true if the deadline of a class is short enough for it to be urgent by default. */
