--- a/core/rollout/answer_history.ts
+++ b/core/rollout/answer_history.ts
@@ -1,25 +1,25 @@
-/** Answers as they were counted a while ago, to tell a version that turns bad late. */
+/** Keeps earlier answer counts, to detect a version that degrades late. */
 import { answersSince, type Answers } from './answers.ts'
 
-/** Lengths of the spans that are looked at beside the whole time, in milliseconds. */
-const SPANS_MS = [1000, 3000]
+/** Lengths of the trailing windows that are compared in addition to the whole rollout, in milliseconds. */
+const WINDOWS_MS = [1000, 3000]
 
-/** Keeps counts for as long as the longest span. */
+/** Keeps snapshots of the counts over the longest window. */
 export class AnswerHistory {
-  #counted: Array<{ atMs: number, answers: Answers }> = []
+  #snapshots: Array<{ atMs: number, answers: Answers }> = []
 
   /**
-   * Notes what was counted, which must not change any more, and gives what came in each span.
+   * Records a snapshot of the counts, which must not be modified afterwards, and returns the answers within each window.
    *
-   * By all answers since the order, a version that was good for a while and is bad now would look half good for as long again.
+   * Counted since the order, a version that was good for a while and is bad now would still look half good for as long again.
    */
   note (answers: Answers, now: number): Answers[] {
-    this.#counted = this.#counted.filter(({ atMs }) => atMs > now - Math.max(...SPANS_MS) - SPANS_MS[0]!)
-    const spans = SPANS_MS.flatMap((ms) => {
-      const before = this.#counted.findLast(({ atMs }) => atMs <= now - ms)
+    this.#snapshots = this.#snapshots.filter(({ atMs }) => atMs > now - Math.max(...WINDOWS_MS) - WINDOWS_MS[0]!)
+    const windows = WINDOWS_MS.flatMap((ms) => {
+      const before = this.#snapshots.findLast(({ atMs }) => atMs <= now - ms)
       return before ? [answersSince(answers, before.answers)] : []
     })
-    this.#counted.push({ atMs: now, answers })
-    return spans
+    this.#snapshots.push({ atMs: now, answers })
+    return windows
   }
 }
--- a/core/rollout/comparison.ts
+++ b/core/rollout/comparison.ts
@@ -1,29 +1,34 @@
-/** Compares how two versions answer at the same time. */
+/** Compares the answers of two versions over the same period. */
 import { as, type ClassName } from '../ids/index.ts'
-import { answeredOf, answersOfNew, slowerThan, sumOf, type AnswerCounts, type Answers, type ClassAnswers } from './answers.ts'
-import { evidenceAbove, upperBound } from './sequential.ts'
+import { successCount, newAnswerCount, slowerCount, sumCounts, type AnswerCounts, type Answers, type ClassAnswers } from './answers.ts'
+import { evidenceAbove, wilsonUpperBound } from './sequential.ts'
 
-/** In what a version is worse. */
+/** Aspect in which versions are compared. */
 export type Measure = 'failures' | 'times'
 
-/** The strongest evidence against the new version. */
+/** Evidence against the new version for one class and measure. */
 export interface Finding {
   cls: ClassName
   measure: Measure
   /** Logarithm of a likelihood ratio. */
   evidence: number
-  /** The same without the group of endpoints that speaks most against the version; infinite where there is one group only. */
-  withoutWorst: number
-  /** Of the new version's answers, so many are bad. */
+  /** Evidence without the endpoint group that contributes most to it; infinite with a single group. */
+  withoutWorstGroup: number
+  /** Bad answers of the new version, out of `count`. */
   bad: number
   count: number
-  /** Part that may be bad by the old version's answers. */
+  /** Allowed proportion of bad answers, derived from the old version's answers. */
   allowed: number
 }
 
 /**
- * What the comparison says. `doubtful`: the evidence would do, but nearly all of it is against one group of endpoints; `suspect`: there is some evidence; `unknown`: there
- * is none, and the new version has answered some class a few times only.
+ * Result of a comparison.
+ *
+ * - `worse`: the evidence against the new version is sufficient.
+ * - `doubtful`: the evidence would be sufficient, but nearly all of it comes from one endpoint group.
+ * - `suspect`: there is some evidence.
+ * - `unknown`: there is none, but the new version has too few answers for some class.
+ * - `alike`: there is none, and every class has enough answers.
  */
 export interface Comparison {
   verdict: 'worse' | 'doubtful' | 'suspect' | 'unknown' | 'alike'
@@ -31,58 +36,58 @@
 }
 
 /**
- * Bound on the chance that a version which is as good as the old one is ever called worse, over all classes and measures. The chance itself is far lower, as what is allowed is an upper bound of what the old
- * version does, and more.
+ * Upper bound of the probability that a version as good as the old one is ever found worse, over all classes and measures. The actual
+ * probability is far lower, since the allowed proportion is an upper bound for the old version plus a margin.
  */
-const FALSE_ALARM = 0.025
-/** Looks at spans that a roll-out has, among which the bound is shared out. */
-const LOOKS = 60
-const MEASURE_NAMES: readonly Measure[] = ['failures', 'times']
-const MEASURES = MEASURE_NAMES.length
+const FALSE_ALARM_RATE = 0.025
+/** Number of checks of trailing windows per rollout, among which the false alarm rate is divided. */
+const LOOKS_PER_ROLLOUT = 60
+const MEASURES: readonly Measure[] = ['failures', 'times']
+const MEASURE_COUNT = MEASURES.length
 const ALL_CLASSES = as<ClassName>('all classes')
-/** Odds at which a switch waits for more answers. */
+/** Odds against the new version at which the switch waits for more answers. */
 const SUSPECT_ODDS = 10
-/** Failures beyond the old version's that are no reason to go back, as a part of all answers. */
-const MORE_FAILURES = 0.01
-/** Part of the old version's answers that are slower than what counts as slow. */
-const SLOW_PART = 0.1
-/** Slow answers beyond the old version's that are no reason to go back: caches are empty, and batches are of another size. */
-const MORE_SLOW = 0.08
-/** Fewer answers of the old version to a class do not tell what slow is. */
-const LEAST_ANSWERS = 20
-/** Answers of all classes that stand in for those of a class of which few came. */
-const PRIOR_ANSWERS = 20
-/** Answers of the new version to each class before the two are called alike. */
-const ENOUGH_ANSWERS = 30
-/** Odds that the other groups of endpoints must speak for where one speaks against the version: that endpoint may be at fault, and not its version. */
-const SHARED_ODDS = 20
+/** Tolerated excess of failures over the old version, as a fraction of all answers. */
+const FAILURE_MARGIN = 0.01
+/** Fraction of the old version's answers above the slow threshold. */
+const SLOW_FRACTION = 0.1
+/** Tolerated excess of slow answers over the old version: a new version starts with empty caches and other batch sizes. */
+const SLOW_MARGIN = 0.08
+/** Minimum number of the old version's answers to a class for determining its slow threshold. */
+const MIN_BASELINE_ANSWERS = 20
+/** Weight of the failure rate over all classes in that of one class, in answers: it stands in for classes with few answers. */
+const PRIOR_WEIGHT = 20
+/** Answers of the new version to each class before the versions are considered alike. */
+const MIN_ANSWERS_PER_CLASS = 30
+/** Odds that the remaining endpoint groups must show against the version if one group does: a faulty endpoint is not a faulty version. */
+const OTHER_GROUPS_ODDS = 20
 
 /**
- * Compares class by class, so that a version which is bad on one quiet route only is not hidden by what all others answer, and over all classes, since a version that is bad
- * everywhere shows sooner so.
- * @param answers All since the order.
- * @param spans Those of the last while, for some lengths of it: a version may turn bad late.
- * @example `compareVersions(answers, history.note(answers, now)).verdict`
+ * Compares two versions class by class, so that a fault on one low-traffic route is not masked by the other routes, and over all classes, which
+ * detects a fault on every route sooner.
+ * @param answers Answers since the order.
+ * @param windows Answers within trailing windows, to detect a version that degrades late.
+ * @example `compareVersions(answers, history.record(answers, now)).verdict`
  */
-export function compareVersions (answers: Answers, spans: readonly Answers[] = []): Comparison {
-  const tests = MEASURES * (answers.size + 1)
-  const whole = findingsOf(answers)
-  const needed = Math.log(tests / FALSE_ALARM)
+export function compareVersions (answers: Answers, windows: readonly Answers[] = []): Comparison {
+  const tests = MEASURE_COUNT * (answers.size + 1)
+  const overall = findingsOf(answers)
+  const threshold = Math.log(tests / FALSE_ALARM_RATE)
   const worse = strongestOf([
-    ...whole.filter((finding) => isWorse(finding, needed)),
-    ...spans.flatMap(findingsOf).filter((finding) => isWorse(finding, needed + Math.log(LOOKS)))
+    ...overall.filter((finding) => isWorse(finding, threshold)),
+    ...windows.flatMap(findingsOf).filter((finding) => isWorse(finding, threshold + Math.log(LOOKS_PER_ROLLOUT)))
   ])
   if (worse) return { verdict: 'worse', strongest: worse }
-  const strongest = strongestOf(whole)
+  const strongest = strongestOf(overall)
   if (!strongest) return { verdict: 'unknown', strongest }
-  if (strongest.evidence >= needed) return { verdict: 'doubtful', strongest }
+  if (strongest.evidence >= threshold) return { verdict: 'doubtful', strongest }
   if (strongest.evidence >= Math.log(SUSPECT_ODDS)) return { verdict: 'suspect', strongest }
-  const isKnown = [...answers.values()].every((counts) => answersOfNew(counts) >= ENOUGH_ANSWERS)
-  return { verdict: isKnown ? 'alike' : 'unknown', strongest }
+  const hasEnoughAnswers = [...answers.values()].every((counts) => newAnswerCount(counts) >= MIN_ANSWERS_PER_CLASS)
+  return { verdict: hasEnoughAnswers ? 'alike' : 'unknown', strongest }
 }
 
-function isWorse ({ evidence, withoutWorst }: Finding, needed: number): boolean {
-  return evidence >= needed && withoutWorst >= Math.log(SHARED_ODDS)
+function isWorse ({ evidence, withoutWorstGroup }: Finding, threshold: number): boolean {
+  return evidence >= threshold && withoutWorstGroup >= Math.log(OTHER_GROUPS_ODDS)
 }
 
 function strongestOf (findings: readonly Finding[]): Finding | undefined {
@@ -90,59 +95,59 @@
 }
 
 function findingsOf (answers: Answers): Finding[] {
-  const usual = usualFailures([...answers.values()].map(({ old }) => old))
-  const found = [...answers].flatMap(([cls, each]) => findingsOfClass(cls, each, usual))
-  return [...found, ...MEASURE_NAMES.flatMap((measure) => overAll(found.filter((each) => each.measure === measure)))]
+  const pooledRate = pooledFailureRate([...answers.values()].map(({ old }) => old))
+  const byClass = [...answers].flatMap(([cls, each]) => findingsOfClass(cls, each, pooledRate))
+  return [...byClass, ...MEASURES.flatMap((measure) => combineClasses(byClass.filter((each) => each.measure === measure)))]
 }
 
-/** Evidence of independent answers adds up. */
-function overAll (found: readonly Finding[]): Finding[] {
-  if (found.length < 2) return []
-  const add = (pick: (finding: Finding) => number) => found.reduce((sum, each) => sum + pick(each), 0)
-  const { measure, allowed } = found[0]!
-  return [{ cls: ALL_CLASSES, measure, allowed, evidence: add((each) => each.evidence), withoutWorst: add((each) => each.withoutWorst), bad: add((each) => each.bad), count: add((each) => each.count) }]
+/** Sums the findings of all classes: the evidence of independent answers is additive. */
+function combineClasses (findings: readonly Finding[]): Finding[] {
+  if (findings.length < 2) return []
+  const add = (pick: (finding: Finding) => number) => findings.reduce((sum, each) => sum + pick(each), 0)
+  const { measure, allowed } = findings[0]!
+  return [{ cls: ALL_CLASSES, measure, allowed, evidence: add((each) => each.evidence), withoutWorstGroup: add((each) => each.withoutWorstGroup), bad: add((each) => each.bad), count: add((each) => each.count) }]
 }
 
-function findingsOfClass (cls: ClassName, { old, new: groups }: ClassAnswers, usual: number): Finding[] {
-  const slow = slowBucket(old)
-  const found = [finding(cls, 'failures', { groups, allowed: allowedFailures(old, usual), badOf: ({ failed }) => failed, countOf: (counts) => answeredOf(counts) + counts.failed })]
-  if (slow === undefined) return found
-  const allowed = Math.min(MOST_ALLOWED, upperBound(slowerThan(old, slow), answeredOf(old)) + MORE_SLOW)
-  return [...found, finding(cls, 'times', { groups, allowed, badOf: (counts) => slowerThan(counts, slow), countOf: answeredOf })]
+function findingsOfClass (cls: ClassName, { old, new: groups }: ClassAnswers, pooledRate: number): Finding[] {
+  const threshold = slowThreshold(old)
+  const findings = [buildFinding(cls, 'failures', { groups, allowed: allowedFailureRate(old, pooledRate), badOf: ({ failed }) => failed, countOf: (counts) => successCount(counts) + counts.failed })]
+  if (threshold === undefined) return findings
+  const allowed = Math.min(MAX_ALLOWED_RATE, wilsonUpperBound(slowerCount(old, threshold), successCount(old)) + SLOW_MARGIN)
+  return [...findings, buildFinding(cls, 'times', { groups, allowed, badOf: (counts) => slowerCount(counts, threshold), countOf: successCount })]
 }
 
-/** Something must be left to be worse. */
-const MOST_ALLOWED = 0.95
+/** Upper limit of the allowed proportion, so that a version can always be worse. */
+const MAX_ALLOWED_RATE = 0.95
 
-/** Part of the old version's answers that are failures, over all classes. */
-function usualFailures (old: readonly AnswerCounts[]): number {
-  const all = sumOf(old)
-  return (all.failed + 1) / (answeredOf(all) + all.failed + PRIOR_ANSWERS)
+/** Returns the old version's failure rate over all classes. */
+function pooledFailureRate (old: readonly AnswerCounts[]): number {
+  const total = sumCounts(old)
+  return (total.failed + 1) / (successCount(total) + total.failed + PRIOR_WEIGHT)
 }
 
-function allowedFailures (old: AnswerCounts, usual: number): number {
-  const failed = old.failed + usual * PRIOR_ANSWERS
-  return Math.min(MOST_ALLOWED, upperBound(failed, answeredOf(old) + old.failed + PRIOR_ANSWERS) + MORE_FAILURES)
+function allowedFailureRate (old: AnswerCounts, pooledRate: number): number {
+  const failed = old.failed + pooledRate * PRIOR_WEIGHT
+  return Math.min(MAX_ALLOWED_RATE, wilsonUpperBound(failed, successCount(old) + old.failed + PRIOR_WEIGHT) + FAILURE_MARGIN)
 }
 
-/** The bucket above which a tenth of the old version's answers lie. */
-function slowBucket (old: AnswerCounts): number | undefined {
-  const answered = answeredOf(old)
-  if (answered < LEAST_ANSWERS) return undefined
-  return [...old.times.keys()].sort((a, b) => a - b).find((bucket) => slowerThan(old, bucket) <= answered * SLOW_PART)
+/** Returns the bucket above which at most a tenth of the old version's answers lie. */
+function slowThreshold (old: AnswerCounts): number | undefined {
+  const answered = successCount(old)
+  if (answered < MIN_BASELINE_ANSWERS) return undefined
+  return [...old.times.keys()].sort((a, b) => a - b).find((bucket) => slowerCount(old, bucket) <= answered * SLOW_FRACTION)
 }
 
-interface Measured {
+interface MeasureInput {
   groups: ClassAnswers['new']
   allowed: number
   badOf (counts: AnswerCounts): number
   countOf (counts: AnswerCounts): number
 }
 
-function finding (cls: ClassName, measure: Measure, { groups, allowed, badOf, countOf }: Measured): Finding {
+function buildFinding (cls: ClassName, measure: Measure, { groups, allowed, badOf, countOf }: MeasureInput): Finding {
   const evidenceOf = (counts: AnswerCounts) => evidenceAbove(badOf(counts), countOf(counts), allowed)
-  const each = [...groups.values()].filter((counts) => countOf(counts) > 0)
-  const all = sumOf(each)
-  const others = each.sort((a, b) => evidenceOf(b) - evidenceOf(a)).slice(1)
-  return { cls, measure, evidence: evidenceOf(all), withoutWorst: each.length > 1 ? evidenceOf(sumOf(others)) : Infinity, bad: badOf(all), count: countOf(all), allowed }
+  const perGroup = [...groups.values()].filter((counts) => countOf(counts) > 0)
+  const total = sumCounts(perGroup)
+  const otherGroups = perGroup.sort((a, b) => evidenceOf(b) - evidenceOf(a)).slice(1)
+  return { cls, measure, evidence: evidenceOf(total), withoutWorstGroup: perGroup.length > 1 ? evidenceOf(sumCounts(otherGroups)) : Infinity, bad: badOf(total), count: countOf(total), allowed }
 }
--- a/core/rollout/exposure.ts
+++ b/core/rollout/exposure.ts
@@ -1,111 +1,112 @@
-/** How many requests a version on trial may get, and which daemons may send them. */
+/** Bounds the number of requests that a canary receives, and distributes them among daemons. */
 import type { ClassName, DaemonId, EndpointId } from '../ids/index.ts'
 import type { Random } from '../routing/index.ts'
 
-/** Requests that a bad version may get, by the operators. */
+/** Operator-defined limit on the requests that a bad version may receive. */
 export interface ExposureLimit {
-  /** Part of the pool's requests between the order and its deadline. */
+  /** Fraction of the pool's requests between the order and its deadline. */
   share: number
-  /** And so many beside. */
+  /** Additional requests, independent of traffic. */
   slack: number
 }
 
-/** Part of the limit that is spent before the switch: what is left bears the seconds in which a version turns bad while it carries all work. */
-const SPENT_PART = 0.75
+/** Fraction of the limit available before the switch. The rest covers the seconds until a version that degrades under full traffic is detected. */
+const PRE_SWITCH_FRACTION = 0.75
 
 /**
- * Requests that daemons may have sent to the new version by now.
+ * Returns the number of requests that may have been sent to the new version by now.
  *
- * Only requests that came already count: what will come until the deadline is not known, and what came is a part of it.
- * @param requests The pool's requests since the order, as far as they were told of.
+ * Only requests received so far count, which is a safe lower bound: the number until the deadline is unknown.
+ * @param requests Requests of the pool since the order, as far as daemons have reported them.
  */
 export function exposureAllowed (requests: number, { share, slack }: ExposureLimit): number {
-  return Math.floor(SPENT_PART * (slack + share * requests))
+  return Math.floor(PRE_SWITCH_FRACTION * (slack + share * requests))
 }
 
 /** Requests of one class that a daemon may send to the new version. */
 export type ClassGrant = readonly [cls: ClassName, requests: number]
 
-/** How often requests of a class come to a daemon. */
+/** Request rate of a class at a daemon, per second. */
 export interface DaemonDemand {
   daemon: DaemonId
   cls: ClassName
   perS: number
 }
 
-/** Options of {@linkcode shareOut}. */
-export interface ShareOutOptions {
-  /** Requests to grant in all. */
+/** Options of {@linkcode distributeGrants}. */
+export interface DistributeGrantsOptions {
+  /** Total number of requests to grant. */
   requests: number
-  /** Time that a grant is good for, in milliseconds. */
+  /** Lifetime of a grant, in milliseconds. */
   forMs: number
   random: Random
 }
 
-/** Part of a class's requests that goes to the new version at most: the others show how the old one answers at the same time. */
-const MOST_OF_CLASS = 0.6
+/** Maximum fraction of a class's requests sent to the new version; the rest provides the old version's baseline over the same period. */
+const MAX_CLASS_FRACTION = 0.6
 const MS_PER_S = 1000
 
 /**
- * Shares requests out, over classes alike and in each over daemons.
+ * Distributes requests evenly among classes, and within a class among daemons.
  *
- * By what comes to classes, a quiet route would get no request in most portions, and a version that is bad there only would be found by its callers. Of a quiet class
- * few of the daemons that are granted a request will get one in time, so that more are granted one than shall be sent.
- * @returns Grants by daemon; together never more than `requests`.
+ * Distributed in proportion to traffic, most batches would leave out a low-traffic route, and its callers would be the first to notice a version
+ * that is bad only there. In a low-traffic class, few of the daemons that hold a grant receive a request before it expires, so more
+ * requests are granted than should be sent.
+ * @returns Grants by daemon, in total at most `requests`.
  */
-export function shareOut (demand: readonly DaemonDemand[], { requests, forMs, random }: ShareOutOptions): Map<DaemonId, ClassGrant[]> {
+export function shareOut (demand: readonly DaemonDemand[], { requests, forMs, random }: DistributeGrantsOptions): Map<DaemonId, ClassGrant[]> {
   const classes = [...new Set(demand.map(({ cls }) => cls))].map((cls) => {
     const daemons = demand.filter((each) => each.cls === cls && each.perS > 0)
     return { cls, daemons, expected: daemons.reduce((sum, { perS }) => sum + perS, 0) * forMs / MS_PER_S }
   })
   const grants = new Map<DaemonId, ClassGrant[]>()
-  let left = requests
-  // Classes of which little comes first: most of what they are granted comes back, and goes to the others then.
+  let remaining = requests
+  // Low-traffic classes come first: most of their grants expire unused and are then available to the other classes.
   classes.sort((a, b) => a.expected - b.expected).forEach(({ cls, daemons, expected }, i) => {
-    const portion = handOut(daemons, { forMs, random, most: Math.ceil(left / (i === classes.length - 1 ? 1 : 2)), wanted: expected * MOST_OF_CLASS })
-    for (const [daemon, count] of portion) {
+    const counts = distributeClass(daemons, { forMs, random, maxRequests: Math.ceil(remaining / (i === classes.length - 1 ? 1 : 2)), targetSent: expected * MAX_CLASS_FRACTION })
+    for (const [daemon, count] of counts) {
       grants.set(daemon, [...grants.get(daemon) ?? [], [cls, count]])
-      left -= count
+      remaining -= count
     }
   })
   return grants
 }
 
-interface HandOutOptions {
+interface DistributeClassOptions {
   forMs: number
   random: Random
-  /** Requests to grant at most. */
-  most: number
-  /** Requests that shall be sent, in the mean. */
-  wanted: number
+  /** Maximum number of requests to grant. */
+  maxRequests: number
+  /** Expected number of requests to be sent. */
+  targetSent: number
 }
 
-/** One request to each daemon in turn, until as many as wanted will be sent. */
-function handOut (daemons: readonly DaemonDemand[], { forMs, random, most, wanted }: HandOutOptions): Map<DaemonId, number> {
+/** Grants one request per daemon and round until the expected number of sent requests reaches the target. */
+function distributeClass (daemons: readonly DaemonDemand[], { forMs, random, maxRequests, targetSent }: DistributeClassOptions): Map<DaemonId, number> {
   const counts = new Map<DaemonId, number>()
-  const order = daemons.map((each) => ({ each, place: random() })).sort((a, b) => a.place - b.place).map(({ each }) => each)
+  const shuffled = daemons.map((each) => ({ each, place: random() })).sort((a, b) => a.place - b.place).map(({ each }) => each)
   let granted = 0
-  let sent = 0
-  for (let nth = 1; granted < most && sent < wanted && order.length > 0; nth++) {
-    for (const { daemon, perS } of order) {
-      if (granted >= most || sent >= wanted) break
-      const chance = chanceOfAtLeast(nth, perS * forMs / MS_PER_S)
-      if (nth > 1 && chance < LEAST_CHANCE) continue
-      counts.set(daemon, nth)
+  let expectedSent = 0
+  for (let round = 1; granted < maxRequests && expectedSent < targetSent && shuffled.length > 0; round++) {
+    for (const { daemon, perS } of shuffled) {
+      if (granted >= maxRequests || expectedSent >= targetSent) break
+      const probability = poissonTail(round, perS * forMs / MS_PER_S)
+      if (round > 1 && probability < MIN_PROBABILITY) continue
+      counts.set(daemon, round)
       granted++
-      sent += chance
+      expectedSent += probability
     }
-    if (nth > MOST_EACH) break
+    if (round > MAX_PER_DAEMON) break
   }
   return counts
 }
 
-/** A further request is not granted to a daemon that will hardly get one. */
-const LEAST_CHANCE = 0.3
-const MOST_EACH = 100
+/** A daemon is granted a further request only if it receives that many with at least this probability. */
+const MIN_PROBABILITY = 0.3
+const MAX_PER_DAEMON = 100
 
-/** Chance that at least so many requests come where `mean` are expected (Poisson). */
-function chanceOfAtLeast (count: number, mean: number): number {
+/** Returns the probability of at least `count` events in a Poisson distribution with the given mean. */
+function poissonTail (count: number, mean: number): number {
   let term = Math.exp(-mean)
   let below = 0
   for (let i = 0; i < count; i++) {
@@ -116,39 +117,40 @@
 }
 
 /**
- * Counts what was granted.
+ * Accounts for granted requests.
  *
- * What a daemon did not use comes back only by its own word: one that dies, or that hears late, may have used all of it.
+ * The unused part of a grant is only released when its daemon reports it: a daemon that crashes or receives the grant late may have used all
+ * of it.
  */
 export class GrantLedger {
   #used: number
-  readonly #given = new Map<DaemonId, Map<number, number>>()
-  #number = 0
+  readonly #outstanding = new Map<DaemonId, Map<number, number>>()
+  #lastNumber = 0
 
-  /** @param granted Requests that deciders before may have granted, all taken for used. */
+  /** @param granted Requests that previous deciders may have granted, all counted as used. */
   constructor (granted: number) {
     this.#used = granted
   }
 
-  /** Requests that may have been sent, or may be yet. */
+  /** Requests that may have been sent or may still be sent. */
   get granted (): number {
     let sum = this.#used
-    for (const grants of this.#given.values()) for (const requests of grants.values()) sum += requests
+    for (const grants of this.#outstanding.values()) for (const requests of grants.values()) sum += requests
     return sum
   }
 
-  /** Notes a grant and gives its number. */
+  /** Records a grant and returns its number. */
   give (daemon: DaemonId, requests: number): number {
-    const number = ++this.#number
-    const grants = this.#given.get(daemon) ?? new Map<number, number>()
-    this.#given.set(daemon, grants)
+    const number = ++this.#lastNumber
+    const grants = this.#outstanding.get(daemon) ?? new Map<number, number>()
+    this.#outstanding.set(daemon, grants)
     grants.set(number, requests)
     return number
   }
 
-  /** A daemon tells what it used of a grant that is over. */
+  /** Records how many requests of an ended grant a daemon used; unknown and already settled grants are ignored. */
   returned (daemon: DaemonId, number: number, used: number): void {
-    const grants = this.#given.get(daemon)
+    const grants = this.#outstanding.get(daemon)
     const requests = grants?.get(number)
     if (requests === undefined) return
     grants!.delete(number)
@@ -156,53 +158,53 @@
   }
 }
 
-/** What a daemon may send to a version on trial. */
+/** Requests that a daemon may send to a canary. */
 export interface Grant {
-  /** Names the order. */
+  /** Id of the order. */
   order: string
   number: number
   requests: readonly ClassGrant[]
-  /** Endpoints of the new version that they go to: as many as get the load of the others by it, since some faults show under load only. */
+  /** Target endpoints of the new version: as many as the grants load like the old version's endpoints, since some faults only show under load. */
   endpoints: readonly EndpointId[]
-  /** How long it is good for, from when it is heard, in milliseconds. */
+  /** Lifetime from receipt, in milliseconds. */
   forMs: number
 }
 
-/** Spends one grant at a time; the next one ends the one before. */
+/** Tracks a daemon's use of its current grant; a new grant ends the previous one. */
 export class GrantPurse {
   #grant: (Grant & { untilMs: number }) | undefined
-  readonly #left = new Map<ClassName, number>()
+  readonly #remaining = new Map<ClassName, number>()
   #used = 0
 
   /**
-   * Takes a grant.
-   * @returns What was used of the grant before, if there was one.
+   * Starts a grant.
+   * @returns The use of the previous grant, if there was one.
    */
   take (grant: Grant, now: number): { number: number, used: number } | undefined {
-    const before = this.end()
+    const previous = this.end()
     this.#grant = { ...grant, untilMs: now + grant.forMs }
-    for (const [cls, requests] of grant.requests) this.#left.set(cls, requests)
-    return before
+    for (const [cls, requests] of grant.requests) this.#remaining.set(cls, requests)
+    return previous
   }
 
-  /** Ends the grant and tells what was used of it. */
+  /** Ends the current grant and returns its use. */
   end (): { number: number, used: number } | undefined {
-    const before = this.#grant && { number: this.#grant.number, used: this.#used }
+    const previous = this.#grant && { number: this.#grant.number, used: this.#used }
     this.#grant = undefined
-    this.#left.clear()
+    this.#remaining.clear()
     this.#used = 0
-    return before
+    return previous
   }
 
-  /** Where a request of the class may be sent for an order; nowhere where nothing is left. */
+  /** Returns the endpoints that a request of the class may be sent to; none once the grant is used up or expired. */
   endpointsFor (order: string, cls: ClassName, now: number): readonly EndpointId[] {
-    const usable = this.#grant?.order === order && now < this.#grant.untilMs && (this.#left.get(cls) ?? 0) > 0
+    const usable = this.#grant?.order === order && now < this.#grant.untilMs && (this.#remaining.get(cls) ?? 0) > 0
     return usable ? this.#grant!.endpoints : []
   }
 
-  /** A request was sent. */
+  /** Counts a sent request. */
   spend (cls: ClassName): void {
-    this.#left.set(cls, (this.#left.get(cls) ?? 0) - 1)
+    this.#remaining.set(cls, (this.#remaining.get(cls) ?? 0) - 1)
     this.#used++
   }
 }
--- a/core/rollout/portion.ts
+++ b/core/rollout/portion.ts
@@ -1,50 +1,51 @@
-/** How much of a pool's work a version on trial gets next. */
-import { answersOfNew, type Answers } from './answers.ts'
+/** Decides how many of a pool's requests a canary receives next. */
+import { newAnswerCount, type Answers } from './answers.ts'
 import { exposureAllowed, type ExposureLimit } from './exposure.ts'
 
-/** A roll-out before the switch. */
-export interface PortionSight {
-  /** Requests of the pool since the order, as far as they were told of. */
+/** State of a rollout before the switch. */
+export interface CanaryState {
+  /** Requests of the pool since the order, as far as daemons have reported them. */
   requests: number
   /** Time since the order, in milliseconds. */
   ageMs: number
-  /** Requests that daemons may have sent to the new version, or may send yet. */
+  /** Requests that daemons may have sent to the new version or may still send. */
   granted: number
-  /** Endpoints of the new version that may get work. */
+  /** Endpoints of the new version that can serve. */
   endpoints: number
   answers: Answers
 }
 
-/** Requests to grant, and how many of them load one endpoint as the whole work would. */
-export interface Portion { requests: number, perEndpoint: number }
+/** Requests to grant, and how many of them put the pool's full load on one endpoint. */
+export interface GrantBatch { requests: number, perEndpoint: number }
 
-/** Time that a grant is good for, in milliseconds. */
+/** Lifetime of a grant, in milliseconds. */
 export const GRANT_MS = 1000
-/** Time from one grant to the next, in milliseconds: by then daemons have said what they did not use. */
+/** Interval between grants, in milliseconds: long enough for daemons to report the unused part of the previous one. */
 export const GRANT_EVERY_MS = 1200
-/** Answers of the new version to each class after which it gets portions that load its endpoints as the others are loaded. */
-const FIRST_ANSWERS = 10
-/** Fewest endpoints that a portion goes to: one may be at fault, and not its version. */
-const LEAST_ENDPOINTS = 2
+/** Answers of the new version to each class after which batches put the pool's full load on its endpoints. */
+const MIN_FIRST_ANSWERS = 10
+/** Minimum number of endpoints that share a batch: with one, a faulty endpoint could not be told from a faulty version. */
+const MIN_ENDPOINTS = 2
 
 /**
- * Decides on the next portion; undefined while there should be none.
+ * Returns the next batch, or undefined if none is due.
  *
- * The first answers come as soon as they may. After that a portion waits until it loads a few endpoints as the old version's are loaded: spread thinly over all of them, a version
- * that only fails under load would carry all work before that shows.
+ * The first answers are collected as soon as the exposure limit allows. After that a batch waits until it can load at least one endpoint as the
+ * old version's endpoints are loaded: spread thinly over all endpoints, a version that fails only under load would take over all traffic
+ * before the fault showed.
  */
-export function nextPortion ({ requests, ageMs, granted, endpoints, answers }: PortionSight, limit: ExposureLimit): Portion | undefined {
+export function nextPortion ({ requests, ageMs, granted, endpoints, answers }: CanaryState, limit: ExposureLimit): GrantBatch | undefined {
   if (endpoints === 0) return undefined
-  const left = exposureAllowed(requests, limit) - granted
+  const remaining = exposureAllowed(requests, limit) - granted
   const perEndpoint = Math.max(1, Math.round(requests / Math.max(GRANT_MS, ageMs) * GRANT_MS / endpoints))
-  return left >= (isKnown(answers) ? perEndpoint : 1) ? { requests: left, perEndpoint } : undefined
+  return remaining >= (hasFirstAnswers(answers) ? perEndpoint : 1) ? { requests: remaining, perEndpoint } : undefined
 }
 
-/** Endpoints for as many requests of a portion as daemons could be granted. */
-export function endpointsFor (granted: number, { perEndpoint }: Portion): number {
-  return Math.max(LEAST_ENDPOINTS, Math.round(granted / perEndpoint))
+/** Returns the number of endpoints for the requests of a batch that could be granted to daemons. */
+export function endpointsFor (granted: number, { perEndpoint }: GrantBatch): number {
+  return Math.max(MIN_ENDPOINTS, Math.round(granted / perEndpoint))
 }
 
-function isKnown (answers: Answers): boolean {
-  return [...answers.values()].every((counts) => answersOfNew(counts) >= FIRST_ANSWERS)
+function hasFirstAnswers (answers: Answers): boolean {
+  return [...answers.values()].every((counts) => newAnswerCount(counts) >= MIN_FIRST_ANSWERS)
 }
--- a/core/rollout/rollout.ts
+++ b/core/rollout/rollout.ts
@@ -1,64 +1,67 @@
-/** A roll-out moves a pool's work to endpoints of another version: what is ordered, and how far it has come. */
+/** Types of a rollout, which moves a pool's traffic to endpoints of another version: the operator's order and the rollout's progress. */
 import type { EndpointVersion, PoolName } from '../ids/index.ts'
 
-/** What an operator orders. */
+/** A rollout as ordered by an operator. */
 export interface RolloutOrder {
   pool: PoolName
-  /** Version that shall carry the pool's work. */
+  /** Version to move the pool's traffic to. */
   to: EndpointVersion
-  /** Time for it, in milliseconds. */
+  /** Time limit of the rollout, in milliseconds. */
   durationMs: number
 }
 
 /**
- * How far a roll-out has come.
+ * Stage of a rollout.
  *
- * `preparing`: no endpoint of the new version can serve yet; `canary`: it gets granted requests only; `switching`: it gets all new work; `emptying`: streams
- * that can be resumed are moved off the old version; `completed` and `rolled-back` are the two verdicts.
+ * - `preparing`: no endpoint of the new version can serve yet.
+ * - `canary`: the new version receives granted requests only.
+ * - `switching`: the new version receives all new requests.
+ * - `emptying`: resumable streams are moved off the old version.
+ * - `completed`, `rolled-back`: the final stages.
  */
 export type RolloutStage = 'preparing' | 'canary' | 'switching' | 'emptying' | 'completed' | 'rolled-back'
 
-/** State of a roll-out as the store keeps it. Times are in milliseconds since the epoch, as the daemons agree on them. */
+/** State of a rollout as persisted in the store. Times are in milliseconds since the epoch, on the clock that the daemons agree on. */
 export interface RolloutProgress {
   order: RolloutOrder
-  /** Version that carried the pool's work before. */
+  /** Version that served the pool before the rollout. */
   from: EndpointVersion
   stage: RolloutStage
   orderedAtMs: number
-  /** When the present stage began. */
+  /** Start of the current stage. */
   stageAtMs: number
-  /** When the new version got all new work; undefined before. */
+  /** Start of `switching`; undefined before it. */
   switchedAtMs?: number | undefined
-  /** Requests that daemons were allowed to send to the new version before the switch, by all deciders so far. */
+  /** Requests that daemons were granted for the new version before the switch, summed over all deciders so far. */
   granted: number
-  /** Why it is in this stage. */
+  /** Reason for the current stage, shown to operators. */
   why: string
 }
 
-/** An order and what the store says became of it; progress may be that of an order before. */
+/** An order with the progress stored beside it, which may belong to a previous order. */
 export interface RolloutRecord {
-  /** Version of the object in the store: the higher one holds. */
+  /** Version of the stored object; a record with a higher version supersedes one with a lower version. */
   version: number
   order: RolloutOrder
   progress: RolloutProgress | undefined
 }
 
-/** True once no further stage follows. */
+/** Reports whether the rollout has reached a final stage. */
 export function isFinal ({ stage }: Pick<RolloutProgress, 'stage'>): boolean {
   return stage === 'completed' || stage === 'rolled-back'
 }
 
-/** The progress of the present order; undefined while nobody has begun with it. */
+/** Returns the progress of the current order, or undefined until a decider has started it. */
 export function progressOf ({ order, progress }: RolloutRecord): RolloutProgress | undefined {
   return progress && isSameOrder(progress.order, order) ? progress : undefined
 }
 
-/** Names an order among those for one pool: one that is given again after it ended is another. */
+/** Identifies an order within its pool. Repeating an order after it ended gives a new id. */
 export function orderId ({ order, orderedAtMs }: Pick<RolloutProgress, 'order' | 'orderedAtMs'>): string {
   return `${order.to}@${orderedAtMs}`
 }
 
-/** True for an order that asks for the same. */
+/** Reports whether two orders of a pool request the same rollout. */
 export function isSameOrder (a: RolloutOrder, b: RolloutOrder): boolean {
   return a.to === b.to && a.durationMs === b.durationMs
 }
--- a/core/rollout/sequential.ts
+++ b/core/rollout/sequential.ts
@@ -1,40 +1,41 @@
-/** A sequential test of one proportion that may be looked at as often as one likes. */
+/** A sequential test of a proportion that stays valid under continuous monitoring, and a confidence bound. */
 
-/** Proportions above the allowed one that the evidence is averaged over. */
-const GRID = 48
+/** Number of alternative proportions above the allowed one that the evidence is averaged over. */
+const GRID_POINTS = 48
 
 /**
- * Weighs the evidence that events come more often than allowed: the logarithm of the likelihood of what was seen, averaged evenly over all higher
- * proportions, over its likelihood at the allowed one.
+ * Returns the evidence that events occur more often than allowed: the logarithm of the likelihood ratio between a uniform mixture of all higher
+ * proportions and the allowed proportion.
  *
- * While the allowed proportion holds, the chance that the evidence ever exceeds `Math.log(1 / alpha)` is at most `alpha`, however often it is looked at (Ville's inequality for
- * a mixture of likelihood ratios): a version can be watched from its first answer on without a fixed size of sample.
- * @param events How many of `count` were events.
- * @param allowed Proportion of events that is allowed, in (0, 1).
+ * If the allowed proportion holds, the probability that the evidence ever exceeds `Math.log(1 / alpha)` is at most `alpha`, however often it is
+ * checked (Ville's inequality for a mixture of likelihood ratios). A version can thus be monitored from its first answer, without a fixed
+ * sample size.
+ * @param events Number of events among `count` observations.
+ * @param allowed Allowed proportion of events, in (0, 1).
  * @example `evidenceAbove(10, 20, 0.05)` is over 15; `evidenceAbove(1, 20, 0.05)` is below 0.
  */
 export function evidenceAbove (events: number, count: number, allowed: number): number {
-  const others = count - events
-  const atAllowed = events * Math.log(allowed) + others * Math.log1p(-allowed)
-  const logs: number[] = []
-  for (let i = 0; i < GRID; i++) {
-    const p = allowed + (1 - allowed) * (i + 0.5) / GRID
-    logs.push(events * Math.log(p) + others * Math.log1p(-p) - atAllowed)
+  const nonEvents = count - events
+  const atAllowed = events * Math.log(allowed) + nonEvents * Math.log1p(-allowed)
+  const logRatios: number[] = []
+  for (let i = 0; i < GRID_POINTS; i++) {
+    const p = allowed + (1 - allowed) * (i + 0.5) / GRID_POINTS
+    logRatios.push(events * Math.log(p) + nonEvents * Math.log1p(-p) - atAllowed)
   }
-  const largest = Math.max(...logs)
-  return largest + Math.log(logs.reduce((sum, log) => sum + Math.exp(log - largest), 0) / GRID)
+  const largest = Math.max(...logRatios)
+  return largest + Math.log(logRatios.reduce((sum, log) => sum + Math.exp(log - largest), 0) / GRID_POINTS)
 }
 
-/** Normal quantile for the upper bound of a proportion that was seen: one in ten samples lies beyond. */
-const Z = 1.28
+/** Standard normal quantile of the one-sided 90% confidence bound: one sample in ten lies beyond it. */
+const Z_90 = 1.28
 
 /**
- * Upper bound of a proportion by what was seen of it (Wilson's score interval).
- * @returns 1 where nothing was seen.
+ * Returns the upper confidence bound of an observed proportion (Wilson score interval).
+ * @returns 1 if there are no observations.
  */
-export function upperBound (events: number, count: number): number {
+export function wilsonUpperBound (events: number, count: number): number {
   if (count === 0) return 1
-  const seen = events / count
-  const spread = Z * Math.sqrt(seen * (1 - seen) / count + Z * Z / (4 * count * count))
-  return Math.min(1, (seen + Z * Z / (2 * count) + spread) / (1 + Z * Z / count))
+  const observed = events / count
+  const spread = Z_90 * Math.sqrt(observed * (1 - observed) / count + Z_90 * Z_90 / (4 * count * count))
+  return Math.min(1, (observed + Z_90 * Z_90 / (2 * count) + spread) / (1 + Z_90 * Z_90 / count))
 }
--- a/core/rollout/sequential_test.ts
+++ b/core/rollout/sequential_test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from 'vitest'
-import { evidenceAbove, upperBound } from './index.ts'
+import { evidenceAbove, wilsonUpperBound } from './index.ts'
 
-test('evidence grows with events above what is allowed, and falls with those below', () => {
+test('evidence grows with events above the allowed proportion and falls with events below it', () => {
   expect(evidenceAbove(10, 20, 0.05)).toBeGreaterThan(15)
   expect(evidenceAbove(1, 20, 0.05)).toBeLessThan(0)
   expect(evidenceAbove(0, 0, 0.05)).toBeCloseTo(0)
   expect(evidenceAbove(4, 4, 0.5)).toBeGreaterThan(evidenceAbove(2, 2, 0.5))
 })
 
-test('by chance alone, evidence of e^n to one comes less often than once in e^n, however often it is looked at', () => {
-  // The bound that the false alarms of a roll-out rest on.
+test('the false alarm rate stays below its bound under continuous monitoring', () => {
+  // By chance alone, evidence of e^n to one occurs less than once in e^n runs; the false alarm rate of a rollout relies on this bound.
   const ALLOWED = 0.1
   const ODDS = 20
   const RUNS = 2000
@@ -28,8 +28,8 @@
   expect(exceeded / RUNS).toBeLessThan(1 / ODDS)
 })
 
-test('what was never seen may be anything', () => {
-  expect(upperBound(0, 0)).toBe(1)
-  expect(upperBound(0, 100)).toBeLessThan(0.02)
-  expect(upperBound(50, 100)).toBeGreaterThan(0.5)
+test('the upper bound is one without observations and tightens with them', () => {
+  expect(wilsonUpperBound(0, 0)).toBe(1)
+  expect(wilsonUpperBound(0, 100)).toBeLessThan(0.02)
+  expect(wilsonUpperBound(50, 100)).toBeGreaterThan(0.5)
 })
--- a/core/rollout/version_rule.ts
+++ b/core/rollout/version_rule.ts
@@ -1,30 +1,30 @@
-/** Which versions of a pool's endpoints may get work. */
+/** Decides which versions of a pool's endpoints receive requests. */
 import type { EndpointVersion } from '../ids/index.ts'
 import { isFinal, progressOf, type RolloutRecord } from './rollout.ts'
 
-/** Versions of one pool. */
+/** Versions of one pool, by the traffic they receive. */
 export interface VersionRule {
-  /** Gets all new work but what a canary gets. */
+  /** Receives all new requests except those sent to a canary. */
   carries: EndpointVersion
-  /** Gets granted requests. */
+  /** Receives granted requests only. */
   canary?: EndpointVersion
-  /** Streams that can be resumed leave this version. */
+  /** Resumable streams are moved off this version. */
   leaves?: EndpointVersion
 }
 
 /**
- * Decides by a roll-out's record.
+ * Derives the rule from a rollout's record.
  *
- * A version that no order named gets nothing, and neither does one that an order names before somebody has begun with it: endpoints of the new version are listed
- * before every daemon has heard of the order, and exposure is counted from the first request on.
- * @param record Undefined where no roll-out was ever ordered.
- * @param options.before Version that carried the pool's work before any order.
- * @param options.held The new version was found to be worse, and the store does not take the verdict yet.
+ * A version receives nothing unless an order names it and a decider has started that order: endpoints of a new version are listed before every
+ * daemon knows of the order, and exposure counts from the first request.
+ * @param record Undefined if no rollout was ever ordered.
+ * @param options.before Version that served the pool before any order.
+ * @param options.held The new version was found to be worse, but the store is unavailable and the rollback is not persisted yet.
  */
 export function versionRule (record: RolloutRecord | undefined, { before, held }: { before: EndpointVersion, held: boolean }): VersionRule {
   if (!record) return { carries: before }
   const progress = progressOf(record)
-  if (!progress) return { carries: afterLast(record) ?? before }
+  if (!progress) return { carries: versionAfterPreviousOrder(record) ?? before }
   const { from, order: { to } } = progress
   if (held && !isFinal(progress)) return { carries: from }
   switch (progress.stage) {
@@ -37,7 +37,7 @@
   }
 }
 
-/** An order that another one replaced before its end leaves the version that was there before it. */
-function afterLast ({ progress }: RolloutRecord): EndpointVersion | undefined {
+/** Returns the version that the previous order left in service: an order that was replaced before it ended leaves the version it started from. */
+function versionAfterPreviousOrder ({ progress }: RolloutRecord): EndpointVersion | undefined {
   return progress && (progress.stage === 'completed' ? progress.order.to : progress.from)
 }
