--- a/core/quota/keeper_choice.ts
+++ b/core/quota/keeper_choice.ts
@@ -1,12 +1,12 @@
-/** Chooses the daemon that counts quotas for this one. */
+/** Selects the quota keeper: the daemon that enforces quotas on behalf of this one. */
 import type { DaemonId } from '../ids/index.ts'
 
-/** Silence after which another keeper is chosen, in milliseconds. */
+/** Time without a message from the keeper after which another is selected, in milliseconds. */
 export const KEEPER_SILENT_MS = 750
-/** A daemon whose address refused a connection is passed over for this long, in milliseconds: by then the others have found it gone, or it is back. */
-const REFUSED_MS = 4000
+/** Time for which a daemon that refused a connection is skipped, in milliseconds: by then the others have detected its failure, or it is back. */
+const REFUSED_BACKOFF_MS = 4000
 
-/** Remembers which daemons can be chosen. All daemons rank the members alike, and so choose the same one. */
+/** Tracks which daemons are eligible. All daemons rank the members identically and therefore select the same keeper. */
 export class KeeperChoice {
   readonly #self: DaemonId
   readonly #heardAtMs = new Map<DaemonId, number>()
@@ -16,32 +16,32 @@
     this.#self = self
   }
 
-  /** A daemon gave a word. */
+  /** Records a message from a daemon. */
   heard (id: DaemonId, now: number): void {
     this.#heardAtMs.set(id, now)
     this.#refusedAtMs.delete(id)
   }
 
-  /** A daemon's address refused a connection: no process is there. */
+  /** Records that a daemon's address refused a connection, so no process listens there. */
   refused (id: DaemonId, now: number): void {
     this.#refusedAtMs.set(id, now)
     this.#heardAtMs.delete(id)
   }
 
-  /** True for a daemon whose address refused and that was not heard since. */
+  /** Reports whether a daemon's address refused a connection and no message has arrived since. */
   isGone (id: DaemonId): boolean {
     return this.#refusedAtMs.has(id)
   }
 
-  /** The first in rank that was heard lately; one that was never heard is tried. */
+  /** Returns the highest-ranked daemon with a recent message; a daemon without any message yet is tried as well. */
   choose (ranked: readonly DaemonId[], now: number): DaemonId {
-    const chosen = ranked.find((id) => id === this.#self || this.#mayCount(id, now)) ?? this.#self
+    const chosen = ranked.find((id) => id === this.#self || this.#isEligible(id, now)) ?? this.#self
     if (chosen !== this.#self && !this.#heardAtMs.has(chosen)) this.#heardAtMs.set(chosen, now)
     return chosen
   }
 
-  #mayCount (id: DaemonId, now: number): boolean {
-    if (now - (this.#refusedAtMs.get(id) ?? -Infinity) < REFUSED_MS) return false
+  #isEligible (id: DaemonId, now: number): boolean {
+    if (now - (this.#refusedAtMs.get(id) ?? -Infinity) < REFUSED_BACKOFF_MS) return false
     return now - (this.#heardAtMs.get(id) ?? now) <= KEEPER_SILENT_MS
   }
 }
--- a/core/quota/keeper_choice_test.ts
+++ b/core/quota/keeper_choice_test.ts
@@ -5,7 +5,7 @@
 const [A, B, C, SELF] = ['a', 'b', 'c', 'self'].map((id) => as<DaemonId>(id)) as [DaemonId, DaemonId, DaemonId, DaemonId]
 const RANKED = [A, B, C, SELF]
 
-test('the first in rank is chosen while it is heard, and the next once it is silent', () => {
+test('the highest-ranked daemon is selected while its messages arrive, and the next one once they stop', () => {
   const choice = new KeeperChoice(SELF)
   expect(choice.choose(RANKED, 0)).toBe(A)
   choice.heard(A, 500)
@@ -16,8 +16,8 @@
   expect(choice.choose(RANKED, 1400)).toBe(A)
 })
 
-test('daemons whose addresses refuse connections are passed over at once, one after the other', () => {
-  // Guards against callers that wait for several silences in a row after many daemons have died at once.
+test('daemons whose addresses refuse connections are skipped immediately, one after the other', () => {
+  // Guards against callers that wait for several timeouts in a row after many daemons crashed at once.
   const choice = new KeeperChoice(SELF)
   expect(choice.choose(RANKED, 0)).toBe(A)
   choice.refused(A, 5)
@@ -28,7 +28,7 @@
   expect(choice.choose(RANKED, 20)).toBe(B)
 })
 
-test('one that refused is tried again after a while, and who reaches nobody counts alone', () => {
+test('a daemon that refused is tried again after a while, and a daemon that reaches none selects itself', () => {
   const choice = new KeeperChoice(SELF)
   for (const id of [A, B, C]) choice.refused(id, 0)
   expect(choice.choose(RANKED, 0)).toBe(SELF)
--- a/core/quota/large_requests_test.ts
+++ b/core/quota/large_requests_test.ts
@@ -4,101 +4,101 @@
 import { as, type AccountId, type DaemonId } from '../ids/index.ts'
 import { QuotaKeeper, type QuotaTolerance } from './index.ts'
 
-// Guards against an account over its quota getting its small requests and none of its large ones.
+// Guards against an account over its quota being granted its small requests but none of its large ones.
 
 const ACCOUNT = as<AccountId>('council')
 const TOLERANCE: QuotaTolerance = { windowMs: 8000, overshoot: 0.1, slack: 140_000 }
 const DAEMONS = 83
 const SPAN_MS = 30_000
 const SEEDS = [1, 2, 3, 4, 5]
-/** Operators ask that no kind of request is served less than a quarter as often as all. */
-const LEAST_OF_ALL = 0.25
-/** And the largest tenth of a kind at least half as often as the kind; the same is asked here of reviews beside letters, which want the same tokens. */
-const LEAST_OF_ALIKE = 0.5
-/** Nine tenths of all reviews cost less. */
-const LARGE_REVIEW = 17_700
+/** Minimum grant ratio of a kind of request to that of all requests, as required by operators. */
+const MIN_RATIO_TO_ALL = 0.25
+/** Minimum grant ratio of the largest tenth of a kind to that of the kind; also applied here to reviews compared with letters, which use the same tokens. */
+const MIN_RATIO_TO_SIMILAR = 0.5
+/** Ninetieth percentile of the cost of a review. */
+const LARGE_REVIEW_TOKENS = 17_700
 
-/** A class: its part of the requests, and the least and the most that one costs, in tokens. */
-interface Kind { part: number, least: number, most: number, deadlineMs: number }
-const REVIEW: Kind = { part: 0.106, least: 6000, most: 19_000, deadlineMs: 12_000 }
-const LETTER: Kind = { part: 0.635, least: 800, most: 4000, deadlineMs: 2500 }
-const PLAIN: Kind = { part: 0.259, least: 200, most: 200, deadlineMs: 1000 }
+/** A request class: its fraction of all requests, and the range of its costs in tokens. */
+interface RequestKind { part: number, minCost: number, maxCost: number, deadlineMs: number }
+const REVIEW: RequestKind = { part: 0.106, minCost: 6000, maxCost: 19_000, deadlineMs: 12_000 }
+const LETTER: RequestKind = { part: 0.635, minCost: 800, maxCost: 4000, deadlineMs: 2500 }
+const PLAIN: RequestKind = { part: 0.259, minCost: 200, maxCost: 200, deadlineMs: 1000 }
 const KINDS = [REVIEW, LETTER, PLAIN]
 
-interface Asked { kind: Kind, cost: number, granted: boolean }
-interface Ask { atMs: number, first: boolean, req: Asked }
-interface Load { seed: number, perS: number, timesQuota: number, daemons: number }
+interface TestRequest { kind: RequestKind, cost: number, granted: boolean }
+interface Attempt { atMs: number, firstTry: boolean, request: TestRequest }
+interface SimulatedLoad { seed: number, perS: number, timesQuota: number, daemons: number }
 
-/** Callers ask, and come back once if they are told to soon enough; gives what became of each. */
-function play ({ seed, perS, timesQuota, daemons }: Load): Asked[] {
+/** Simulates callers that retry a rejected request once if the retry delay is short enough, and returns all requests. */
+function simulate ({ seed, perS, timesQuota, daemons }: SimulatedLoad): TestRequest[] {
   const random = seededRandom(seed)
   const keeper = new QuotaKeeper({ tolerance: TOLERANCE })
-  const quota: Quota = { unit: 'tokens', perS, burst: perS, plainTokens: PLAIN.most }
+  const quota: Quota = { unit: 'tokens', perS, burst: perS, plainTokens: PLAIN.maxCost }
   keeper.apply(new Map([[ACCOUNT, quota]]), 0)
   for (let i = 0; i < daemons; i++) keeper.vote(as<DaemonId>(`d${i}`), 0, { host: `h${i}`, number: 1, told: [], freeInMs: 0 })
-  const meanCost = KINDS.reduce((sum, { part, least, most }) => sum + part * (least + most) / 2, 0)
-  const asks: Ask[] = []
+  const meanCost = KINDS.reduce((sum, { part, minCost, maxCost }) => sum + part * (minCost + maxCost) / 2, 0)
+  const attempts: Attempt[] = []
   for (let atMs = 0; atMs < SPAN_MS;) {
     atMs += -Math.log(1 - random()) * 1000 / (timesQuota * perS * daemons / DAEMONS / meanCost)
-    const kind = kindAt(random())
-    asks.push({ atMs, first: true, req: { kind, cost: Math.round(kind.least + random() * (kind.most - kind.least)), granted: false } })
+    const kind = kindAtQuantile(random())
+    attempts.push({ atMs, firstTry: true, request: { kind, cost: Math.round(kind.minCost + random() * (kind.maxCost - kind.minCost)), granted: false } })
   }
-  const asked = asks.map(({ req }) => req)
-  for (let ask = asks.shift(); ask; ask = asks.shift()) {
-    const { req, atMs } = ask
+  const requests = attempts.map(({ request }) => request)
+  for (let attempt = attempts.shift(); attempt; attempt = attempts.shift()) {
+    const { request, atMs } = attempt
     for (let i = 0; i < daemons; i++) keeper.heard(as<DaemonId>(`d${i}`), atMs)
-    const grant = keeper.ask(ACCOUNT, req.cost, { now: atMs, all: DAEMONS })
-    req.granted = grant.granted
-    if (!grant.granted && ask.first && grant.retryAfterMs < req.kind.deadlineMs / 3) comeBack(asks, { req, atMs: atMs + grant.retryAfterMs, first: false })
+    const grant = keeper.ask(ACCOUNT, request.cost, { now: atMs, all: DAEMONS })
+    request.granted = grant.granted
+    if (!grant.granted && attempt.firstTry && grant.retryAfterMs < request.kind.deadlineMs / 3) scheduleRetry(attempts, { request, atMs: atMs + grant.retryAfterMs, firstTry: false })
   }
-  return asked
+  return requests
 }
 
-function kindAt (share: number): Kind {
-  let at = share
-  return KINDS.find(({ part }) => (at -= part) < 0) ?? PLAIN
+function kindAtQuantile (quantile: number): RequestKind {
+  let rest = quantile
+  return KINDS.find(({ part }) => (rest -= part) < 0) ?? PLAIN
 }
 
-function comeBack (asks: Ask[], ask: Ask): void {
-  const at = asks.findIndex(({ atMs }) => atMs > ask.atMs)
-  asks.splice(at < 0 ? asks.length : at, 0, ask)
+function scheduleRetry (attempts: Attempt[], retry: Attempt): void {
+  const index = attempts.findIndex(({ atMs }) => atMs > retry.atMs)
+  attempts.splice(index < 0 ? attempts.length : index, 0, retry)
 }
 
-/** Parts granted of what was asked for. */
-interface Served { reviews: number, largeReviews: number, letters: number, plain: number, all: number }
+/** Fraction of the requests that were granted, by kind. */
+interface GrantedFractions { reviews: number, largeReviews: number, letters: number, plain: number, all: number }
 
-function servedParts (load: Omit<Load, 'seed'>): Served {
-  const sums = { reviews: [0, 0], largeReviews: [0, 0], letters: [0, 0], plain: [0, 0], all: [0, 0] } satisfies Record<keyof Served, number[]>
-  for (const { kind, cost, granted } of SEEDS.flatMap((seed) => play({ ...load, seed }))) {
+function grantedFractions (load: Omit<SimulatedLoad, 'seed'>): GrantedFractions {
+  const sums = { reviews: [0, 0], largeReviews: [0, 0], letters: [0, 0], plain: [0, 0], all: [0, 0] } satisfies Record<keyof GrantedFractions, number[]>
+  for (const { kind, cost, granted } of SEEDS.flatMap((seed) => simulate({ ...load, seed }))) {
     const own = kind === REVIEW ? sums.reviews : kind === LETTER ? sums.letters : sums.plain
-    for (const sum of [sums.all, own, ...(cost > LARGE_REVIEW ? [sums.largeReviews] : [])]) {
+    for (const sum of [sums.all, own, ...(cost > LARGE_REVIEW_TOKENS ? [sums.largeReviews] : [])]) {
       sum[0]! += granted ? 1 : 0
       sum[1]!++
     }
   }
-  return Object.fromEntries(Object.entries(sums).map(([name, [granted, asked]]) => [name, granted! / asked!])) as unknown as Served
+  return Object.fromEntries(Object.entries(sums).map(([name, [granted, asked]]) => [name, granted! / asked!])) as unknown as GrantedFractions
 }
 
-function isStarved ({ reviews, largeReviews, letters, all }: Served): boolean {
-  return reviews < all * LEAST_OF_ALL || reviews < letters * LEAST_OF_ALIKE || largeReviews < reviews * LEAST_OF_ALIKE
+function isStarved ({ reviews, largeReviews, letters, all }: GrantedFractions): boolean {
+  return reviews < all * MIN_RATIO_TO_ALL || reviews < letters * MIN_RATIO_TO_SIMILAR || largeReviews < reviews * MIN_RATIO_TO_SIMILAR
 }
 
-test('an account over its quota gets its large requests as well as its small ones', () => {
+test('an account over its quota is granted large requests as well as small ones', () => {
   const loads = [40_000, 180_000].flatMap((perS) => [1.3, 2, 4, 7.5].map((timesQuota) => ({ perS, timesQuota, daemons: DAEMONS })))
-  const played = loads.map((load) => ({ load, ...servedParts(load) }))
-  expect(played.filter(isStarved)).toEqual([])
+  const results = loads.map((load) => ({ load, ...grantedFractions(load) }))
+  expect(results.filter(isStarved)).toEqual([])
 })
 
-test('so it does on a side of a partition with a third of the daemons', () => {
-  expect(isStarved(servedParts({ perS: 180_000, timesQuota: 2, daemons: 28 }))).toBe(false)
+test('large requests are granted on a side of a partition with a third of the daemons', () => {
+  expect(isStarved(grantedFractions({ perS: 180_000, timesQuota: 2, daemons: 28 }))).toBe(false)
 })
 
-test('calls that cost next to nothing are not turned away for the large requests', () => {
-  for (const timesQuota of [1.3, 2, 4]) expect(servedParts({ perS: 180_000, timesQuota, daemons: DAEMONS }).plain).toBeGreaterThan(0.95)
+test('requests of negligible cost are not rejected in favour of large ones', () => {
+  for (const timesQuota of [1.3, 2, 4]) expect(grantedFractions({ perS: 180_000, timesQuota, daemons: DAEMONS }).plain).toBeGreaterThan(0.95)
 })
 
-test('an account within its quota is refused nothing', () => {
+test('an account within its quota has no request rejected', () => {
   for (const timesQuota of [0.5, 0.8]) {
-    for (const perS of [40_000, 180_000]) expect(servedParts({ perS, timesQuota, daemons: DAEMONS }).all).toBe(1)
+    for (const perS of [40_000, 180_000]) expect(grantedFractions({ perS, timesQuota, daemons: DAEMONS }).all).toBe(1)
   }
 })
--- a/core/quota/quota.ts
+++ b/core/quota/quota.ts
@@ -1,39 +1,39 @@
-/** How a client account's quota becomes a bucket, and what a request costs of it. */
+/** Derives a token bucket's limits from a client account's quota, and a request's cost. */
 import type { Quota } from '../catalog/index.ts'
 import type { Demand } from '../work/index.ts'
 
-/** By how much an account may go over its quota, over all daemons. */
+/** Amount by which an account may exceed its quota, over all daemons. */
 export interface QuotaTolerance {
-  /** Length of the windows that are looked at, in milliseconds. */
+  /** Length of the windows over which quotas are checked, in milliseconds. */
   windowMs: number
-  /** Part of what the quota allows in a window. */
+  /** Excess as a fraction of what the quota allows in a window. */
   overshoot: number
-  /** And so many requests or tokens beside. */
+  /** Additional excess, in requests or tokens. */
   slack: number
 }
 
 /**
- * Part of the tolerance that is given to callers.
+ * Fraction of the tolerance that is available to callers.
  *
- * What daemons know of each other's use is a tenth of a second old, so they may let too little or too much through. Half of the tolerance
- * keeps a caller within its quota from being refused; the other half takes up what is let through too much.
+ * Daemons' knowledge of each other's use is a tenth of a second old, so they may admit too little or too much. Half of the tolerance keeps
+ * callers within their quota from being rejected; the other half absorbs requests admitted in excess.
  */
-const GIVEN_PART = 0.5
-/** Part of what is given that a daemon starts with: what was used just before it started is unknown to it. */
-const START_PART = 0.5
+const USABLE_TOLERANCE = 0.5
+/** Fraction of this headroom in a new bucket: a daemon that starts does not know the use just before. */
+const INITIAL_FRACTION = 0.5
 const MS_PER_S = 1000
 
-/** Limits of a bucket. */
+/** Limits of a token bucket. */
 export interface BucketLimits { perS: number, capacity: number, initial: number }
 
-/** Limits of the bucket for a quota. */
-export function bucketOf (quota: Quota, tolerance: QuotaTolerance): BucketLimits {
-  const allowed = quota.perS * tolerance.windowMs / MS_PER_S + quota.burst
-  const given = GIVEN_PART * (allowed * tolerance.overshoot + tolerance.slack)
-  return { perS: quota.perS, capacity: quota.burst + given, initial: given * START_PART }
+/** Returns the limits of the bucket for a quota. */
+export function bucketLimits (quota: Quota, tolerance: QuotaTolerance): BucketLimits {
+  const windowAllowance = quota.perS * tolerance.windowMs / MS_PER_S + quota.burst
+  const headroom = USABLE_TOLERANCE * (windowAllowance * tolerance.overshoot + tolerance.slack)
+  return { perS: quota.perS, capacity: quota.burst + headroom, initial: headroom * INITIAL_FRACTION }
 }
 
-/** What one request counts for. */
+/** Returns the cost of a request, in the quota's unit. */
 export function costOf (quota: Quota, demand: Demand | undefined): number {
   if (quota.unit === 'requests') return 1
   return demand ? demand.promptTokens + demand.maxTokens : quota.plainTokens
--- a/core/quota/quota_keeper.ts
+++ b/core/quota/quota_keeper.ts
@@ -1,46 +1,47 @@
-/** Grants client accounts what their quotas allow, for the daemons that have chosen this one to count. */
+/** Enforces the quotas of client accounts on behalf of the daemons that voted for this one. */
 import type { Quota } from '../catalog/index.ts'
 import type { AccountId, DaemonId } from '../ids/index.ts'
-import { bucketOf, type QuotaTolerance } from './quota.ts'
+import { bucketLimits, type QuotaTolerance } from './quota.ts'
 import { SharedBucket } from './shared_bucket.ts'
 
-/** Level of an account's bucket, as a daemon was told it. */
+/** Level of an account's bucket, as reported to another daemon. */
 export type AccountLevel = readonly [account: AccountId, level: number]
 
 /**
- * What a request is told. `room` is what the account had left, in requests or tokens; `unknown` when nobody has chosen the keeper, so that it cannot know
- * whether there is any.
+ * Decision on a request. `room` is the account's remaining quota, in requests or tokens. `unknown` is set if no daemon votes for the keeper,
+ * which then has no share of the quota to decide on.
  */
 export type Grant = { granted: true } | { granted: false, retryAfterMs: number, room: number, unknown?: true }
 
 /**
- * How long a daemon's choice counts, in milliseconds.
+ * Lifetime of a vote, in milliseconds.
  *
- * Longer than three of its votes are apart, so that a lost one costs nothing; and as long as a daemon that chose another may be counted by both.
+ * Longer than three vote intervals, so a lost vote has no effect. A daemon that selects another keeper may still be counted by the previous
+ * one for this long.
  */
 export const VOTE_KEPT_MS = 1000
 
-/** Between two votes for a keeper, in milliseconds; three of them fit into the time that one counts. */
+/** Interval between a daemon's votes, in milliseconds; three intervals fit into a vote's lifetime. */
 export const VOTE_MS = 300
 
-/** A daemon's choice of a keeper. */
+/** A daemon's vote for a keeper. */
 export interface Vote {
-  /** Names the place of the daemon, which has one process at a time; the same after a restart. */
+  /** Name of the daemon's host, which runs one daemon process at a time; unchanged by a restart. */
   host: string
-  /** Grows with each vote and each withdrawal of a daemon, so that one that comes late undoes nothing. */
+  /** Increases with each vote and withdrawal of a daemon, so that late messages are ignored. */
   number: number
-  /** Levels that its keeper before told it; nobody else knows what was used there. */
+  /** Bucket levels reported by its previous keeper, the only record of what was used there. */
   told: readonly AccountLevel[]
-  /** Milliseconds until its last vote for another keeper counts no more. */
+  /** Milliseconds until its last vote for another keeper expires. */
   freeInMs: number
 }
 
 /**
- * Counts what all of its voters use.
+ * Accounts for the quota use of all daemons that vote for it.
  *
- * Each daemon chooses one keeper at a time, and a vote counts only once the one before has run out. So of keepers on two sides of a partition
- * each has the votes of its own side only, and draws on that part of every quota: together they never grant more than one keeper would. A keeper
- * that was paused wakes with no votes.
+ * A daemon votes for one keeper at a time, and a vote takes effect only once the previous one has expired. Keepers on two sides of a partition
+ * therefore hold only the votes of their own side and draw on that share of every quota, so together they never grant more than a single
+ * keeper would. A keeper that resumes after a pause has no valid votes.
  */
 export class QuotaKeeper {
   #tolerance: QuotaTolerance
@@ -52,7 +53,7 @@
     this.#tolerance = options.tolerance
   }
 
-  /** Puts the quotas of a configuration in force; a lower one binds at once. */
+  /** Applies the quotas of a configuration; a lower quota takes effect immediately. */
   apply (quotas: ReadonlyMap<AccountId, Quota>, now: number): void {
     for (const id of this.#quotas.keys()) {
       if (quotas.has(id)) continue
@@ -61,84 +62,84 @@
     }
     for (const [id, quota] of quotas) {
       this.#quotas.set(id, quota)
-      const limits = bucketOf(quota, this.#tolerance)
+      const limits = bucketLimits(quota, this.#tolerance)
       const bucket = this.#buckets.get(id)
       if (bucket) bucket.resize(limits)
       else this.#buckets.set(id, new SharedBucket({ ...limits, now }))
     }
   }
 
-  /** Takes another tolerance of the quotas in force. */
+  /** Changes the tolerance of the current quotas. */
   tolerate (tolerance: QuotaTolerance, now: number): void {
     this.#tolerance = tolerance
     this.apply(new Map(this.#quotas), now)
   }
 
-  /** A daemon has chosen this keeper, or says so again. */
+  /** Records a daemon's first or repeated vote for this keeper. */
   vote (daemon: DaemonId, now: number, { host, number, told, freeInMs }: Vote): void {
     const known = this.#votes.get(daemon)
     if (known && known.number >= number) return
     this.#votes.set(daemon, { host, number, atMs: now, countsFromMs: Math.min(known?.countsFromMs ?? Infinity, now + freeInMs) })
-    for (const [account, level] of told) this.#buckets.get(account)?.lower(level)
+    for (const [account, level] of told) this.#buckets.get(account)?.lowerTo(level)
   }
 
-  /** A daemon that has chosen this keeper was heard. */
+  /** Extends the vote of a daemon from which a message arrived. */
   heard (daemon: DaemonId, now: number): void {
     const known = this.#votes.get(daemon)
     if (known) known.atMs = now
   }
 
-  /** A daemon has chosen another; no vote of before counts any more. */
+  /** Withdraws a daemon's vote; its earlier votes are ignored from now on. */
   withdraw (daemon: DaemonId, now: number, number: number): void {
     this.#votes.set(daemon, { host: '', number, atMs: now, countsFromMs: Infinity })
   }
 
   /**
-   * Grants or denies one request.
-   * @param all Daemons that may act, whether they are heard or not.
+   * Grants or denies a request.
+   * @param at.all Number of daemons that may be running, reachable or not.
    */
   ask (account: AccountId, cost: number, at: { now: number, all: number }): Grant {
     const bucket = this.#buckets.get(account)
     if (!bucket) return { granted: true }
-    const part = this.part(at.now, at.all)
-    const room = bucket.room(at.now, part)
-    const needed = bucket.needed(cost)
-    if (room < needed) return { granted: false, retryAfterMs: bucket.turnAway(cost, needed), room, ...(part === 0 && { unknown: true }) }
-    bucket.take(cost)
+    const share = this.part(at.now, at.all)
+    const room = bucket.room(at.now, share)
+    const threshold = bucket.admissionThreshold(cost)
+    if (room < threshold) return { granted: false, retryAfterMs: bucket.reject(cost, threshold), room, ...(share === 0 && { unknown: true }) }
+    bucket.consume(cost)
     return { granted: true }
   }
 
-  /** Gives back what a request was granted that was not sent to any endpoint. */
+  /** Refunds the cost of a granted request that was not sent to any endpoint. */
   giveBack (account: AccountId, cost: number): void {
-    this.#buckets.get(account)?.take(-cost)
+    this.#buckets.get(account)?.consume(-cost)
   }
 
-  /** Levels for the voters to keep, in case another must count after this one. */
+  /** Returns the bucket levels, which voters keep for the next keeper in case this one fails. */
   levels (at: { now: number, all: number }): AccountLevel[] {
-    const part = this.part(at.now, at.all)
+    const share = this.part(at.now, at.all)
     return [...this.#buckets].map(([account, bucket]) => {
-      bucket.room(at.now, part)
+      bucket.room(at.now, share)
       return [account, bucket.level]
     })
   }
 
   /**
-   * Part of all daemons that have chosen this keeper.
+   * Returns the fraction of all daemons whose votes for this keeper are valid.
    *
-   * Once every host's daemon has chosen it, nobody is left to ask another: then all count at once. Else all callers would wait a second after each
-   * loss of all daemons, for votes that died with their keepers to run out.
+   * If the daemons of all hosts vote for this keeper, no other can hold a vote, so all votes count immediately. Otherwise callers would wait a
+   * second after a loss of all daemons, until the votes for the lost keepers have expired.
    */
   part (now: number, all: number): number {
     const hosts = new Set<string>()
-    let counted = 0
+    let validVotes = 0
     for (const [daemon, { host, atMs, countsFromMs }] of this.#votes) {
       if (now - atMs > VOTE_KEPT_MS) {
         this.#votes.delete(daemon)
         continue
       }
       if (countsFromMs < Infinity) hosts.add(host)
-      if (countsFromMs <= now) counted++
+      if (countsFromMs <= now) validVotes++
     }
-    return hosts.size >= all ? 1 : Math.min(counted, all) / Math.max(1, all)
+    return hosts.size >= all ? 1 : Math.min(validVotes, all) / Math.max(1, all)
   }
 }
--- a/core/quota/shared_bucket.ts
+++ b/core/quota/shared_bucket.ts
@@ -1,56 +1,56 @@
-/** A token bucket that several may count, each for a part of the daemons. */
+/** A token bucket that several daemons can account for, each for a share of the fleet. */
 
 /** Options of {@linkcode SharedBucket}. */
 export interface SharedBucketOptions {
-  /** Tokens that flow in each second, for all daemons together. */
+  /** Refill rate for all daemons together, in tokens per second. */
   perS: number
-  /** Most tokens that the bucket holds. */
+  /** Maximum number of tokens. */
   capacity: number
-  /** Tokens at first: what was used before is not known. */
+  /** Initial number of tokens; lower than the capacity, since earlier use is unknown. */
   initial: number
-  /** Milliseconds on the steady clock. */
+  /** Current time in milliseconds, on the monotonic clock. */
   now: number
 }
 
 const MS_PER_S = 1000
-/** Part by which waits are reckoned at least: one that counts for nobody yet will soon. */
-const LEAST_PART = 0.1
-/** An account that asks for many times its quota would be told to come back ever later, in milliseconds. */
-const LONGEST_WAIT_MS = 8000
-/** The largest request of an account is forgotten by a factor of e in this time, in milliseconds. */
-const LARGEST_KEPT_MS = 30_000
-/** Most of the bucket that must be left for a request: a single huge one would otherwise have all others turned away for seconds. */
-const MOST_LEFT = 0.25
+/** Minimum share assumed when computing waits: a keeper without votes is expected to receive some soon. */
+const MIN_SHARE = 0.1
+/** Maximum retry delay, in milliseconds; without it, the delays of an account at many times its quota would grow without bound. */
+const MAX_WAIT_MS = 8000
+/** Time constant of the exponential decay of an account's largest request, in milliseconds. */
+const LARGEST_DECAY_MS = 30_000
+/** Maximum admission threshold, as a fraction of the capacity: otherwise a single huge request would cause all others to be rejected for seconds. */
+const MAX_THRESHOLD_FRACTION = 0.25
 /**
- * Part of what flows in that cheap requests may take when there is not enough for a large one; a second's worth is kept for them. What costs least comes
- * first as far as that goes, since it serves most callers, and large requests still get what is left.
+ * Fraction of the refill that cheap requests may use while the level is below the admission threshold; up to one second's worth accumulates.
+ * Within this allowance the cheapest requests come first, since that serves most callers, and the rest remains for large requests.
  */
-const CHEAP_PART = 0.25
-/** Weight of one request in the mean cost, by which cheap ones are told. */
+const CHEAP_FRACTION = 0.25
+/** Weight of one request in the moving average of the cost; requests at or below the average count as cheap. */
 const COST_SMOOTHING = 0.02
 
 /**
- * Never lets more through, over all who count, than one bucket would.
+ * Token bucket whose instances together never admit more than a single bucket would.
  *
- * Who counts for a part of the daemons only draws on that part, of what is in the bucket and of what flows in, and sets the rest aside for
- * whoever counts for the others. What was set aside comes back with their votes. Parts are numbers of daemons, so those of two sides never
- * sum to more than one.
+ * An instance that accounts for a share of the daemons uses only that share of the level and of the refill, and reserves the rest for the
+ * instances that account for the others. The reserve is released as its share grows. Shares are based on daemon counts, so the shares of
+ * two sides of a partition never exceed one in total.
  */
 export class SharedBucket {
   #perS: number
   #capacity: number
   #level: number
-  /** Set aside for daemons that are not counted for. */
-  #aside = 0
-  #part = 1
-  /** Tokens of those that were turned away, and will come back before this one. */
-  #comeBack = 0
-  /** Tokens of the largest request of late. */
-  #largest = 0
-  /** Tokens of a request in the mean of late. */
+  /** Tokens reserved for daemons outside the share. */
+  #reserved = 0
+  #share = 1
+  /** Cost of rejected requests that are due to be retried before the next one. */
+  #pendingRetryTokens = 0
+  /** Cost of the largest recent request, with exponential decay. */
+  #recentLargest = 0
+  /** Moving average of the cost of a request. */
   #meanCost = 0
-  /** Tokens that cheap requests may take when there is not enough for a large one. */
-  #forCheap = 0
+  /** Tokens that cheap requests may use while the level is below the admission threshold. */
+  #cheapAllowance = 0
   #atMs: number
 
   constructor (options: SharedBucketOptions) {
@@ -60,88 +60,90 @@
     this.#atMs = options.now
   }
 
-  /** Tokens over all parts, below 0 after more was used than there was. */
-  get level (): number { return this.#level + this.#aside }
+  /** Tokens over all shares; negative after more was used than available. */
+  get level (): number { return this.#level + this.#reserved }
 
-  /** Puts other limits in force; a lower one takes effect at once. */
+  /** Changes the limits; lower ones take effect immediately. */
   resize (limits: { perS: number, capacity: number }): void {
     this.#perS = limits.perS
     this.#capacity = limits.capacity
-    this.#level = Math.min(this.#level, this.#capacity * this.#part)
-    this.#aside = Math.min(this.#aside, this.#capacity * (1 - this.#part))
+    this.#level = Math.min(this.#level, this.#capacity * this.#share)
+    this.#reserved = Math.min(this.#reserved, this.#capacity * (1 - this.#share))
   }
 
   /**
-   * Tells how many tokens may be used now.
-   * @param part Part of the daemons that are counted for, in [0, 1].
+   * Refills the bucket and returns the number of available tokens.
+   * @param share Share of the daemons that this instance accounts for, in [0, 1].
    */
-  room (now: number, part: number): number {
-    this.#hear(part)
+  room (now: number, share: number): number {
+    this.#setShare(share)
     const elapsedMs = Math.max(0, now - this.#atMs)
-    const inflow = this.#perS * elapsedMs / MS_PER_S
+    const refill = this.#perS * elapsedMs / MS_PER_S
     this.#atMs = Math.max(this.#atMs, now)
-    this.#level = Math.min(this.#capacity * part, this.#level + inflow * part)
-    this.#comeBack = Math.max(0, this.#comeBack - inflow * part)
-    this.#largest *= Math.exp(-elapsedMs / LARGEST_KEPT_MS)
-    this.#forCheap = Math.min(CHEAP_PART * this.#perS * part, this.#forCheap + CHEAP_PART * inflow * part)
-    this.#aside = Math.min(this.#capacity * (1 - part), this.#aside + inflow * (1 - part))
+    this.#level = Math.min(this.#capacity * share, this.#level + refill * share)
+    this.#pendingRetryTokens = Math.max(0, this.#pendingRetryTokens - refill * share)
+    this.#recentLargest *= Math.exp(-elapsedMs / LARGEST_DECAY_MS)
+    this.#cheapAllowance = Math.min(CHEAP_FRACTION * this.#perS * share, this.#cheapAllowance + CHEAP_FRACTION * refill * share)
+    this.#reserved = Math.min(this.#capacity * (1 - share), this.#reserved + refill * (1 - share))
     return this.#level
   }
 
   /**
-   * Tells how many tokens must be there for a request: as many for a small one as for the largest of late, but for some of the cheapest.
+   * Returns the level required to admit a request: the cost of the largest recent request, or the request's own cost for cheap requests within
+   * their allowance.
    *
-   * Small requests would otherwise take what flows in before there is ever enough for a large one, and an account over its quota would get none of those.
-   * @param tokens What the request costs.
+   * If each request only required its own cost, small requests would use up the refill before the level sufficed for a large one, and an
+   * account over its quota would never be granted a large request.
+   * @param tokens Cost of the request.
    */
-  needed (tokens: number): number {
-    this.#largest = Math.max(this.#largest, tokens)
+  admissionThreshold (tokens: number): number {
+    this.#recentLargest = Math.max(this.#recentLargest, tokens)
     this.#meanCost += COST_SMOOTHING * (tokens - this.#meanCost)
-    if (tokens <= Math.min(this.#meanCost, this.#forCheap)) {
-      this.#forCheap -= tokens
+    if (tokens <= Math.min(this.#meanCost, this.#cheapAllowance)) {
+      this.#cheapAllowance -= tokens
       return tokens
     }
-    return Math.max(tokens, Math.min(this.#largest, this.#capacity * this.#part * MOST_LEFT))
+    return Math.max(tokens, Math.min(this.#recentLargest, this.#capacity * this.#share * MAX_THRESHOLD_FRACTION))
   }
 
   /**
-   * Turns a request away and tells in how many milliseconds there will be room for it.
-   * @param tokens What it costs.
-   * @param needed What must be there for it. Default: as much.
+   * Rejects a request and returns the delay until it can be admitted, in milliseconds.
    *
-   * Behind those that were turned away before: told only of what is missing now, all of them would come back within milliseconds of each other, and be
-   * turned away again.
+   * The delay accounts for requests rejected earlier: based on the current deficit only, all of them would be retried within milliseconds of
+   * each other and rejected again.
+   * @param tokens Cost of the request.
+   * @param threshold Level required to admit it. Default: `tokens`.
    */
-  turnAway (tokens: number, needed = tokens): number {
-    const flowPerS = this.#perS * Math.max(this.#part, LEAST_PART)
-    const waitMs = (Math.max(0, needed - this.#level) + this.#comeBack) * MS_PER_S / flowPerS
-    this.#comeBack += tokens
-    return Math.min(waitMs, LONGEST_WAIT_MS)
+  reject (tokens: number, threshold = tokens): number {
+    const refillPerS = this.#perS * Math.max(this.#share, MIN_SHARE)
+    const waitMs = (Math.max(0, threshold - this.#level) + this.#pendingRetryTokens) * MS_PER_S / refillPerS
+    this.#pendingRetryTokens += tokens
+    return Math.min(waitMs, MAX_WAIT_MS)
   }
 
-  /** Counts tokens as used; a negative number gives them back. */
-  take (tokens: number): void {
+  /** Consumes tokens; a negative number refunds them. */
+  consume (tokens: number): void {
     this.#level -= tokens
   }
 
-  /** Takes in the level that somebody else was told; what is lower knows of more use. */
-  lower (level: number): void {
-    const over = this.level - level
-    if (over <= 0) return
-    this.#level -= over * this.#part
-    this.#aside -= over * (1 - this.#part)
+  /** Lowers the level to one reported by another instance, which reflects use that this one has not seen. */
+  lowerTo (level: number): void {
+    const excess = this.level - level
+    if (excess <= 0) return
+    this.#level -= excess * this.#share
+    this.#reserved -= excess * (1 - this.#share)
   }
 
-  #hear (part: number): void {
-    if (part < this.#part) {
-      const lost = Math.max(0, this.#level) * (1 - part / this.#part)
-      this.#level -= lost
-      this.#aside += lost
-    } else if (part > this.#part) {
-      const back = this.#aside * (part - this.#part) / (1 - this.#part)
-      this.#aside -= back
-      this.#level += back
+  #setShare (share: number): void {
+    if (share < this.#share) {
+      const reserved = Math.max(0, this.#level) * (1 - share / this.#share)
+      this.#level -= reserved
+      this.#reserved += reserved
+    } else if (share > this.#share) {
+      const released = this.#reserved * (share - this.#share) / (1 - this.#share)
+      this.#reserved -= released
+      this.#level += released
     }
-    this.#part = part
+    this.#share = share
   }
 }
