--- a/core/quarantine/blame.ts
+++ b/core/quarantine/blame.ts
@@ -1,31 +1,33 @@
-/** Finds the requests that explain a series of crashes. */
+/** Attributes crashes of endpoints to the requests that cause them (queries of death). */
 import type { EndpointId, Fingerprint } from '../ids/index.ts'
 
-/** Crashes that a request must explain before it is blamed for them. */
-export const CRASHES_TO_BLAME = 3
-/** Crashes after which one of several requests that were aboard all of them is blamed, though nothing tells them apart. */
-const CRASHES_TO_GUESS = 5
+/** Number of crashes that a request must account for before they are attributed to it. */
+export const MIN_CRASHES = 3
+/** Number of crashes after which they are attributed to one of several indistinguishable requests. */
+const MIN_CRASHES_IF_AMBIGUOUS = 5
 
 /**
- * Blames requests for crashes, the one that was aboard most of them first.
+ * Attributes crashes to requests, greedily by the number of crashes that a request was running in.
  *
- * A crash that is explained by one request counts against no other, so that a request which only ran beside the one to blame is let off. Requests that were aboard
- * the very same crashes are let off together until one of them is served or crashes an endpoint without the others.
- * @param suspects Each crash with the requests that may have caused it.
+ * A crash attributed to one request no longer counts against any other, so a request that merely ran alongside the cause is not suspected.
+ * Requests that were running in exactly the same crashes are all spared until one of them is answered or crashes an endpoint without the
+ * others.
+ * @param suspects Requests that may have caused each crash, by endpoint.
+ * @returns The requests to quarantine.
  */
-export function blame (suspects: ReadonlyMap<EndpointId, ReadonlySet<Fingerprint>>): Set<Fingerprint> {
-  const unexplained = new Map(suspects)
-  const blamed = new Set<Fingerprint>()
+export function attributeCrashes (suspects: ReadonlyMap<EndpointId, ReadonlySet<Fingerprint>>): Set<Fingerprint> {
+  const unattributed = new Map(suspects)
+  const culprits = new Set<Fingerprint>()
   for (;;) {
-    const crashes = crashesByRequest(unexplained)
-    const most = [...crashes.values()].reduce((max, { size }) => Math.max(max, size), 0)
-    if (most < CRASHES_TO_BLAME) return blamed
-    // All daemons that know the same crashes have to blame the same request.
-    const [first, ...others] = [...crashes.keys()].filter((request) => crashes.get(request)!.size === most).sort()
-    const explained = crashes.get(first!)!
-    const isUndecided = others.some((other) => isSame(explained, crashes.get(other)!))
-    if (!isUndecided || most >= CRASHES_TO_GUESS) blamed.add(first!)
-    for (const endpoint of explained) unexplained.delete(endpoint)
+    const crashes = crashesByRequest(unattributed)
+    const maxCrashes = [...crashes.values()].reduce((max, { size }) => Math.max(max, size), 0)
+    if (maxCrashes < MIN_CRASHES) return culprits
+    // Sorted, so that all daemons that know the same crashes select the same request.
+    const [first, ...others] = [...crashes.keys()].filter((request) => crashes.get(request)!.size === maxCrashes).sort()
+    const attributed = crashes.get(first!)!
+    const isAmbiguous = others.some((other) => isSameSet(attributed, crashes.get(other)!))
+    if (!isAmbiguous || maxCrashes >= MIN_CRASHES_IF_AMBIGUOUS) culprits.add(first!)
+    for (const endpoint of attributed) unattributed.delete(endpoint)
   }
 }
 
@@ -41,6 +43,6 @@
   return crashes
 }
 
-function isSame (a: ReadonlySet<EndpointId>, b: ReadonlySet<EndpointId>): boolean {
+function isSameSet (a: ReadonlySet<EndpointId>, b: ReadonlySet<EndpointId>): boolean {
   return a.size === b.size && [...a].every((endpoint) => b.has(endpoint))
 }
--- a/core/quarantine/crash_records.ts
+++ b/core/quarantine/crash_records.ts
@@ -1,55 +1,55 @@
-/** All crashes that daemons have told of, merged the same in any order. */
+/** Crashes reported by all daemons. Merging the same reports in any order, and more than once, gives the same suspects. */
 import type { EndpointId, Fingerprint } from '../ids/index.ts'
 import type { CrashReport } from './crash_report.ts'
 
-/** Tells whether a request is remembered to have been aboard a crash. */
-export type IsKept = (request: Fingerprint, crashedAtMs: number) => boolean
+/** Reports whether to keep the record that a request was running in a crash. */
+export type RetentionPredicate = (request: Fingerprint, crashedAtMs: number) => boolean
 
-/** One crash; true for each request aboard that was cleared, which is never taken back. */
+/** One crash. Maps each request that was running to whether it has been cleared, which is never revoked. */
 interface Crash { atMs: number, cleared: Map<Fingerprint, boolean> }
 
-/** Remembers who was aboard which crash. */
+/** Records which requests were running in which crash. */
 export class CrashRecords {
   readonly #crashes = new Map<EndpointId, Crash>()
-  /** Crashes of each request, but for those that it was cleared of. */
+  /** Crashes of each request, except those it was cleared of. */
   readonly #crashesOf = new Map<Fingerprint, Set<EndpointId>>()
   #size = 0
 
-  /** Requests aboard all crashes. */
+  /** Total number of requests over all crashes. */
   get size (): number { return this.#size }
 
-  /** Takes in what a daemon tells; returns what of it was not known. */
+  /** Merges reports and returns the parts that were not known. */
   merge (reports: readonly CrashReport[]): CrashReport[] {
-    return reports.filter(namesRequests).map((report) => this.#mergeOne(report)).filter(namesRequests)
+    return reports.filter(hasRequests).map((report) => this.#mergeReport(report)).filter(hasRequests)
   }
 
-  /** Clears a request of all crashes so far; returns the crashes for which that is news. */
+  /** Clears a request of all crashes so far and returns the changes. */
   markCleared (request: Fingerprint): CrashReport[] {
-    return [...this.#crashesOf.get(request) ?? []].map((endpoint) => this.#mergeOne({ endpoint, atMs: this.#crashes.get(endpoint)!.atMs, aboard: [], cleared: [request] }))
+    return [...this.#crashesOf.get(request) ?? []].map((endpoint) => this.#mergeReport({ endpoint, atMs: this.#crashes.get(endpoint)!.atMs, aboard: [], cleared: [request] }))
   }
 
-  /** Crashes that a request may have caused. */
+  /** Returns the crashes that a request may have caused. */
   crashesOf (request: Fingerprint): ReadonlySet<EndpointId> {
     return this.#crashesOf.get(request) ?? new Set()
   }
 
-  /** True when some request may have caused so many crashes. */
-  isAboard (crashes: number): boolean {
-    return [...this.#crashesOf.values()].some(({ size }) => size >= crashes)
+  /** Reports whether any request may have caused at least `minCrashes` crashes. */
+  hasRequestWithCrashes (minCrashes: number): boolean {
+    return [...this.#crashesOf.values()].some(({ size }) => size >= minCrashes)
   }
 
-  /** Each crash with the requests that may have caused it. */
+  /** Returns the requests that may have caused each crash. */
   suspects (): Map<EndpointId, Set<Fingerprint>> {
     return new Map([...this.#crashes].map(([endpoint, { cleared }]) => [endpoint, new Set([...cleared].filter(([, isCleared]) => !isCleared).map(([request]) => request))]))
   }
 
-  /** When an endpoint crashed; undefined where it is not remembered. */
+  /** Returns the time of an endpoint's crash, or undefined if it is not recorded. */
   atMs (endpoint: EndpointId): number | undefined {
     return this.#crashes.get(endpoint)?.atMs
   }
 
-  /** Everything, for a daemon that knows nothing. */
-  all (): CrashReport[] {
+  /** Returns all records, to initialise another daemon. */
+  snapshot (): CrashReport[] {
     return [...this.#crashes].map(([endpoint, { atMs, cleared }]) => ({
       endpoint,
       atMs,
@@ -58,35 +58,35 @@
     }))
   }
 
-  /** Drops what is not kept. */
-  forget (isKept: IsKept): void {
-    for (const endpoint of this.#crashes.keys()) this.#forgetAt(endpoint, isKept)
+  /** Removes the records that need not be kept. */
+  prune (shouldKeep: RetentionPredicate): void {
+    for (const endpoint of this.#crashes.keys()) this.#pruneCrash(endpoint, shouldKeep)
   }
 
-  /** Drops what is not kept, from the oldest crashes on, until no more than `most` requests are aboard all of them. */
-  limit (most: number, isKept: IsKept): void {
-    if (this.#size <= most) return
+  /** Removes records that need not be kept, oldest crashes first, until at most `maxSize` requests remain. */
+  limit (maxSize: number, shouldKeep: RetentionPredicate): void {
+    if (this.#size <= maxSize) return
     const oldestFirst = [...this.#crashes].sort(([, a], [, b]) => a.atMs - b.atMs)
-    for (const [endpoint] of oldestFirst) if (this.#size > most) this.#forgetAt(endpoint, isKept)
+    for (const [endpoint] of oldestFirst) if (this.#size > maxSize) this.#pruneCrash(endpoint, shouldKeep)
   }
 
-  #forgetAt (endpoint: EndpointId, isKept: IsKept): void {
+  #pruneCrash (endpoint: EndpointId, shouldKeep: RetentionPredicate): void {
     const { atMs, cleared } = this.#crashes.get(endpoint)!
-    for (const request of cleared.keys()) if (!isKept(request, atMs)) this.#remove(endpoint, request)
+    for (const request of cleared.keys()) if (!shouldKeep(request, atMs)) this.#remove(endpoint, request)
     if (cleared.size === 0) this.#crashes.delete(endpoint)
   }
 
-  #mergeOne ({ endpoint, atMs, aboard, cleared }: CrashReport): CrashReport {
+  #mergeReport ({ endpoint, atMs, aboard, cleared }: CrashReport): CrashReport {
     let crash = this.#crashes.get(endpoint)
     if (!crash) {
       crash = { atMs, cleared: new Map() }
       this.#crashes.set(endpoint, crash)
     }
     const known = crash.cleared
-    const news: CrashReport = { endpoint, atMs: crash.atMs, aboard: aboard.filter((request) => !known.has(request)), cleared: cleared.filter((request) => known.get(request) !== true) }
-    for (const request of news.aboard) this.#add(endpoint, request)
-    for (const request of news.cleared) this.#clear(endpoint, request)
-    return news
+    const added: CrashReport = { endpoint, atMs: crash.atMs, aboard: aboard.filter((request) => !known.has(request)), cleared: cleared.filter((request) => known.get(request) !== true) }
+    for (const request of added.aboard) this.#add(endpoint, request)
+    for (const request of added.cleared) this.#clear(endpoint, request)
+    return added
   }
 
   #add (endpoint: EndpointId, request: Fingerprint): void {
@@ -117,6 +117,6 @@
   }
 }
 
-function namesRequests ({ aboard, cleared }: CrashReport): boolean {
+function hasRequests ({ aboard, cleared }: CrashReport): boolean {
   return aboard.length + cleared.length > 0
 }
--- a/core/quarantine/crash_records_test.ts
+++ b/core/quarantine/crash_records_test.ts
@@ -10,7 +10,7 @@
   return [...records.suspects()].map(([endpoint, requests]) => `${endpoint}:${[...requests].sort().join('')}`).sort()
 }
 
-test('what is known already is no news', () => {
+test('merging returns only what was not known', () => {
   const records = new CrashRecords()
   expect(records.merge([report('e1', 'ab')])).toEqual([report('e1', 'ab')])
   expect(records.merge([report('e1', 'ab')])).toEqual([])
@@ -19,7 +19,7 @@
   expect(sorted(records)).toEqual(['e1:bc'])
 })
 
-test('a request that was cleared may have caused none of the crashes of before, but those that come after', () => {
+test('a cleared request is no suspect for earlier crashes, but for later ones', () => {
   const records = new CrashRecords()
   records.merge([report('e1', 'ab'), report('e2', 'a')])
   expect(records.markCleared(as('a'))).toEqual([report('e1', '', 'a'), report('e2', '', 'a')])
@@ -28,10 +28,10 @@
   expect(sorted(records)).toEqual(['e1:b', 'e2:', 'e3:a'])
 })
 
-test('daemons that were told the same in any order, and more than once, know the same', () => {
+test('merging reports in any order and repeatedly gives the same records', () => {
   const reports = fc.array(fc.record({ endpoint: fc.constantFrom('e1', 'e2', 'e3'), aboard: fc.constantFrom('a', 'ab', 'bc', ''), cleared: fc.constantFrom('', '', 'a', 'c') }), { maxLength: 12 })
-  fc.assert(fc.property(reports, fc.infiniteStream(fc.nat()), (told, order) => {
-    const all = told.map(({ endpoint, aboard, cleared }) => report(endpoint, aboard, cleared))
+  fc.assert(fc.property(reports, fc.infiniteStream(fc.nat()), (reported, order) => {
+    const all = reported.map(({ endpoint, aboard, cleared }) => report(endpoint, aboard, cleared))
     const shuffled = [...all, ...all].map((one) => ({ one, at: order.next().value! })).sort((a, b) => a.at - b.at).map(({ one }) => one)
     const [first, second, third] = [new CrashRecords(), new CrashRecords(), new CrashRecords()]
     for (const one of all) first.merge([one])
@@ -39,16 +39,16 @@
     expect(sorted(second)).toEqual(sorted(first))
     expect(sorted(third)).toEqual(sorted(first))
     const joined = new CrashRecords()
-    joined.merge(first.all())
+    joined.merge(first.snapshot())
     expect(sorted(joined)).toEqual(sorted(first))
   }), { seed: 33, numRuns: 300 })
 })
 
-test('the oldest crashes go first where there are too many, and what is not kept is forgotten', () => {
+test('the size limit removes the oldest crashes first, and pruning removes what need not be kept', () => {
   const records = new CrashRecords()
   records.merge([report('e2', 'ab', '', 200), report('e1', 'abk', '', 100), report('e3', 'a', '', 300)])
   records.limit(4, (request) => request === 'k')
   expect([records.size, sorted(records)]).toEqual([4, ['e1:k', 'e2:ab', 'e3:a']])
-  records.forget((request, atMs) => request === 'a' && atMs > 200)
+  records.prune((request, atMs) => request === 'a' && atMs > 200)
   expect([records.size, sorted(records), [...records.crashesOf(as('a'))], [...records.crashesOf(as('b'))]]).toEqual([1, ['e3:a'], ['e3'], []])
 })
--- a/core/quarantine/crash_report.ts
+++ b/core/quarantine/crash_report.ts
@@ -1,11 +1,12 @@
 import type { EndpointId, Fingerprint } from '../ids/index.ts'
 
-/** Requests that were at an endpoint when it crashed, as far as one daemon knows. */
+/** One daemon's knowledge of an endpoint's crash and the requests that were running there. */
 export interface CrashReport {
   endpoint: EndpointId
-  /** When it crashed, in milliseconds on the daemon's clock. */
+  /** Time of the crash, in milliseconds on the daemon's clock. */
   atMs: number
+  /** Requests that were running on the endpoint. */
   aboard: Fingerprint[]
-  /** Of those aboard, the ones that an endpoint has answered since: they crash nothing. */
+  /** Requests among them that an endpoint has answered since, which therefore did not cause the crash. */
   cleared: Fingerprint[]
 }
--- a/core/quarantine/quarantine.ts
+++ b/core/quarantine/quarantine.ts
@@ -1,85 +1,85 @@
-/** Decides which requests are sent to no endpoint, since they crash what runs them. */
+/** Decides which requests are quarantined because they crash the endpoints that run them. */
 import type { EndpointId, Fingerprint } from '../ids/index.ts'
-import { blame, CRASHES_TO_BLAME } from './blame.ts'
+import { attributeCrashes, MIN_CRASHES } from './blame.ts'
 import { CrashRecords } from './crash_records.ts'
 import type { CrashReport } from './crash_report.ts'
 
-/** A request that is held. */
+/** A quarantined request. */
 export interface HeldRequest {
   request: Fingerprint
-  /** Crashes that it is blamed for, with their times in milliseconds on the daemon's clock. */
+  /** Crashes that the request may have caused, with their times in milliseconds on the daemon's clock. */
   crashes: Array<{ endpoint: EndpointId, atMs: number }>
-  /** Milliseconds on the daemon's clock. */
+  /** End of the quarantine, in milliseconds on the daemon's clock. */
   untilMs: number
 }
 
-/** From the last crash that a request is blamed for until it is let go, in milliseconds. */
-const HOLD_MS = 3_600_000
-/** From a crash until those aboard are no suspects any more, in milliseconds. */
-const SUSPECTED_MS = 600_000
-/** A request that was answered so shortly before a crash did not cause it, in milliseconds. */
-const ANSWERED_LATELY_MS = 10_000
-/** Requests aboard crashes that are remembered, beside those that are held. */
-const MOST_SUSPECTS = 2000
-/** Answered requests that are remembered. */
-const MOST_ANSWERED = 4096
+/** Time from the last crash of a request until its quarantine ends, in milliseconds. */
+const QUARANTINE_MS = 3_600_000
+/** Time after a crash for which the requests that were running remain suspects, in milliseconds. */
+const SUSPECT_TTL_MS = 600_000
+/** A request answered within this time before a crash did not cause it, in milliseconds. */
+const RECENT_ANSWER_MS = 10_000
+/** Maximum number of recorded suspects, in addition to quarantined requests. */
+const MAX_SUSPECTS = 2000
+/** Maximum number of recorded answered requests. */
+const MAX_ANSWERED = 4096
 
-/** What one daemon knows of crashes, and the requests that it holds for them. */
+/** Known crashes, and the requests that are quarantined because of them, on one daemon. */
 export class Quarantine {
   readonly #records = new CrashRecords()
-  /** When each request was answered last, in milliseconds, the latest at the end. */
+  /** Time of the last answer to each request, in milliseconds, least recent first. */
   readonly #answeredAt = new Map<Fingerprint, number>()
   #held = new Map<Fingerprint, HeldRequest>()
 
-  /** Requests that are held now. */
+  /** Requests currently in quarantine. */
   get held (): ReadonlyMap<Fingerprint, HeldRequest> { return this.#held }
 
-  /** Everything known, for a daemon that knows nothing. */
+  /** Returns all known crashes, to initialise another daemon. */
   all (): CrashReport[] {
-    return this.#records.all()
+    return this.#records.snapshot()
   }
 
-  /** Notes a crash that this daemon saw; returns what others have to be told. */
+  /** Records a crash detected by this daemon and returns the changes to share with others. */
   crashed (crash: { endpoint: EndpointId, aboard: readonly Fingerprint[] }, now: number): CrashReport[] {
-    const aboard = crash.aboard.filter((request) => now - (this.#answeredAt.get(request) ?? -Infinity) > ANSWERED_LATELY_MS)
+    const aboard = crash.aboard.filter((request) => now - (this.#answeredAt.get(request) ?? -Infinity) > RECENT_ANSWER_MS)
     return this.merge([{ endpoint: crash.endpoint, atMs: now, aboard, cleared: [] }])
   }
 
-  /** Notes that an endpoint answered a request; returns what others have to be told. */
+  /** Records that an endpoint answered a request and returns the changes to share with others. */
   answered (request: Fingerprint, now: number): CrashReport[] {
     this.#answeredAt.delete(request)
     this.#answeredAt.set(request, now)
-    if (this.#answeredAt.size > MOST_ANSWERED) this.#answeredAt.delete(this.#answeredAt.keys().next().value!)
+    if (this.#answeredAt.size > MAX_ANSWERED) this.#answeredAt.delete(this.#answeredAt.keys().next().value!)
     return this.clear(request)
   }
 
-  /** Clears a request of all crashes so far; returns what others have to be told. */
+  /** Clears a request of all crashes so far and returns the changes to share with others. */
   clear (request: Fingerprint): CrashReport[] {
-    const news = this.#records.markCleared(request)
-    if (news.length > 0) this.#judge()
-    return news
+    const added = this.#records.markCleared(request)
+    if (added.length > 0) this.#updateHeld()
+    return added
   }
 
-  /** Takes in what another daemon told; returns what of it was not known. */
+  /** Merges reports of another daemon and returns the parts that were not known. */
   merge (reports: readonly CrashReport[]): CrashReport[] {
-    const news = this.#records.merge(reports)
-    const mayChange = news.some(({ aboard, cleared }) => cleared.length > 0 || aboard.some((request) => this.#records.crashesOf(request).size >= CRASHES_TO_BLAME))
-    if (mayChange) this.#judge()
-    this.#records.limit(MOST_SUSPECTS, (request) => this.#held.has(request))
-    return news
+    const added = this.#records.merge(reports)
+    const affectsHeld = added.some(({ aboard, cleared }) => cleared.length > 0 || aboard.some((request) => this.#records.crashesOf(request).size >= MIN_CRASHES))
+    if (affectsHeld) this.#updateHeld()
+    this.#records.limit(MAX_SUSPECTS, (request) => this.#held.has(request))
+    return added
   }
 
-  /** Drops what is too old. */
+  /** Removes expired suspects and quarantined requests. */
   forget (now: number): void {
-    this.#records.forget((request, crashedAtMs) => now < (this.#held.get(request)?.untilMs ?? crashedAtMs + SUSPECTED_MS))
-    this.#judge()
+    this.#records.prune((request, crashedAtMs) => now < (this.#held.get(request)?.untilMs ?? crashedAtMs + SUSPECT_TTL_MS))
+    this.#updateHeld()
   }
 
-  #judge (): void {
-    const blamed = this.#records.isAboard(CRASHES_TO_BLAME) ? [...blame(this.#records.suspects())] : []
-    this.#held = new Map(blamed.map((request) => {
+  #updateHeld (): void {
+    const culprits = this.#records.hasRequestWithCrashes(MIN_CRASHES) ? [...attributeCrashes(this.#records.suspects())] : []
+    this.#held = new Map(culprits.map((request) => {
       const crashes = [...this.#records.crashesOf(request)].map((endpoint) => ({ endpoint, atMs: this.#records.atMs(endpoint)! }))
-      return [request, { request, crashes, untilMs: Math.max(...crashes.map(({ atMs }) => atMs)) + HOLD_MS }]
+      return [request, { request, crashes, untilMs: Math.max(...crashes.map(({ atMs }) => atMs)) + QUARANTINE_MS }]
     }))
   }
 }
--- a/core/quarantine/quarantine_test.ts
+++ b/core/quarantine/quarantine_test.ts
@@ -2,46 +2,46 @@
 import { as, type EndpointId, type Fingerprint } from '../ids/index.ts'
 import { Quarantine } from './quarantine.ts'
 
-const KILLER = as<Fingerprint>('k')
+const POISON_REQUEST = as<Fingerprint>('k')
 const OTHER = as<Fingerprint>('o')
 const crash = (endpoint: string, ...aboard: Fingerprint[]) => ({ endpoint: as<EndpointId>(endpoint), aboard })
 
-test('a request is held from its third crash on, at each daemon that was told of them', () => {
+test('a request is quarantined from its third crash on, on every daemon that knows the crashes', () => {
   const [here, there] = [new Quarantine(), new Quarantine()]
   for (const [i, endpoint] of ['e1', 'e2', 'e3'].entries()) {
     expect(there.held.size).toBe(0)
-    there.merge(here.crashed(crash(endpoint, KILLER, ...(i < 2 ? [OTHER] : [])), i * 100))
+    there.merge(here.crashed(crash(endpoint, POISON_REQUEST, ...(i < 2 ? [OTHER] : [])), i * 100))
   }
-  expect([...here.held.keys()]).toEqual([KILLER])
-  expect(there.held.get(KILLER)).toMatchObject({ crashes: [{ endpoint: 'e1', atMs: 0 }, { endpoint: 'e2', atMs: 100 }, { endpoint: 'e3', atMs: 200 }], untilMs: 3_600_200 })
+  expect([...here.held.keys()]).toEqual([POISON_REQUEST])
+  expect(there.held.get(POISON_REQUEST)).toMatchObject({ crashes: [{ endpoint: 'e1', atMs: 0 }, { endpoint: 'e2', atMs: 100 }, { endpoint: 'e3', atMs: 200 }], untilMs: 3_600_200 })
 })
 
-test('a request that was answered is held no more, and one that is answered all the time never was', () => {
+test('an answer ends the quarantine, and a request with recent answers is never quarantined', () => {
   const quarantine = new Quarantine()
-  for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed(crash(endpoint, KILLER), 0)
+  for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed(crash(endpoint, POISON_REQUEST), 0)
   expect(quarantine.held.size).toBe(1)
-  expect(quarantine.answered(KILLER, 1)).toHaveLength(3)
+  expect(quarantine.answered(POISON_REQUEST, 1)).toHaveLength(3)
   expect(quarantine.held.size).toBe(0)
   quarantine.answered(OTHER, 1000)
   for (const endpoint of ['e4', 'e5', 'e6']) quarantine.crashed(crash(endpoint, OTHER), 2000)
   expect(quarantine.held.size).toBe(0)
 })
 
-test('a request is let go an hour after its last crash, and who was only beside it is forgotten before', () => {
+test('a quarantine ends an hour after the last crash, and requests that merely ran alongside expire earlier', () => {
   const quarantine = new Quarantine()
-  for (const [i, endpoint] of ['e1', 'e2', 'e3'].entries()) quarantine.crashed(crash(endpoint, KILLER, ...(i === 0 ? [OTHER] : [])), i)
+  for (const [i, endpoint] of ['e1', 'e2', 'e3'].entries()) quarantine.crashed(crash(endpoint, POISON_REQUEST, ...(i === 0 ? [OTHER] : [])), i)
   quarantine.forget(600_000)
-  expect(quarantine.all().flatMap(({ aboard }) => aboard)).toEqual([KILLER, KILLER, KILLER])
+  expect(quarantine.all().flatMap(({ aboard }) => aboard)).toEqual([POISON_REQUEST, POISON_REQUEST, POISON_REQUEST])
   quarantine.forget(3_600_001)
   expect(quarantine.held.size).toBe(1)
   quarantine.forget(3_600_002)
   expect([quarantine.held.size, quarantine.all()]).toEqual([0, []])
 })
 
-test('a request stays held, however many crashes follow', () => {
+test('a request stays in quarantine regardless of how many crashes follow', () => {
   const quarantine = new Quarantine()
-  for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed(crash(endpoint, KILLER), 0)
+  for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed(crash(endpoint, POISON_REQUEST), 0)
   for (let i = 0; i < 100; i++) quarantine.crashed(crash(`later-${i}`, ...Array.from({ length: 30 }, (_, nth) => as<Fingerprint>(`${i}-${nth}`))), 1)
-  expect([...quarantine.held.keys()]).toEqual([KILLER])
+  expect([...quarantine.held.keys()]).toEqual([POISON_REQUEST])
   expect(quarantine.all().reduce((sum, { aboard }) => sum + aboard.length, 0)).toBeLessThanOrEqual(2003)
 })
