--- a/core/retry/retry_budget.ts
+++ b/core/retry/retry_budget.ts
@@ -1,22 +1,26 @@
-/** Limits retries to a fraction of fresh work. */
+/** Limits retries to a fraction of first attempts. */
 
 /** Options of {@linkcode RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries earned by one fresh request, asked each time where it changes. Default 0.1. */
+  /** Retries earned by each first attempt; a function is evaluated on every use. Default: 0.1. */
   fraction?: number | (() => number)
-  /** Retries that may be saved up, asked each time where it changes. Default 10. */
+  /** Maximum number of accumulated retries; a function is evaluated on every use. Default: 10. */
   burst?: number | (() => number)
-  /** Part of the burst that is saved up at first. Default 1. */
-  startFull?: number
-  /** Count retries away from endpoints that are gone, too. Default false: leaving those is no storm, and free. */
-  countsGone?: boolean
+  /** Initial balance as a fraction of the burst. Default: 1. */
+  initialFill?: number
+  /** Whether retries of requests from a leaving or lost endpoint count. Default: false, since moving those does not cause a retry storm. */
+  includeGoneEndpoints?: boolean
 }
 
-/** Grants or denies the sending of a request to another endpoint. */
+/** Grants or denies retries of requests on another endpoint. */
 export interface RepeatBudget {
-  /** Counts a fresh request. */
+  /** Counts a first attempt. */
   earn (): void
-  /** Takes one repeat when the budget allows it. `endpointGone`: the endpoint before is leaving or gone. */
+  /**
+   * Consumes one retry if the budget allows it.
+   * @param endpointGone Whether the previous endpoint is leaving or lost.
+   * @returns Whether the retry is granted.
+   */
   spend (endpointGone: boolean): boolean
 }
 
@@ -24,36 +28,36 @@
 const DEFAULT_BURST = 10
 
 /**
- * Grants retries out of a budget that fresh requests fill.
+ * Token bucket of retries that first attempts refill.
  *
- * Guards against a retry storm: when a domain goes, each failure would otherwise double the load on what is left. With the budget
- * spent, retries stop at a tenth of fresh work however many attempts fail.
+ * Guards against retry storms: after the loss of a failure domain, each failure would otherwise double the load on the remaining endpoints.
+ * With the bucket empty, retries are limited to a tenth of first attempts by default, however many attempts fail.
  */
 export class RetryBudget implements RepeatBudget {
   readonly #options: RetryBudgetOptions
-  #saved: number
+  #balance: number
 
   constructor (options: RetryBudgetOptions = {}) {
     this.#options = options
-    this.#saved = this.#burst * (options.startFull ?? 1)
+    this.#balance = this.#burst * (options.initialFill ?? 1)
   }
 
-  /** Counts a fresh request. */
+  /** Counts a first attempt. */
   earn (): void {
-    this.#saved = Math.min(this.#burst, this.#saved + valueOf(this.#options.fraction ?? DEFAULT_FRACTION))
+    this.#balance = Math.min(this.#burst, this.#balance + resolve(this.#options.fraction ?? DEFAULT_FRACTION))
   }
 
-  /** Takes one retry when the budget allows it. */
+  /** Consumes one retry if the budget allows it. */
   spend (endpointGone = false): boolean {
-    if (endpointGone && !this.#options.countsGone) return true
-    if (this.#saved < 1) return false
-    this.#saved -= 1
+    if (endpointGone && !this.#options.includeGoneEndpoints) return true
+    if (this.#balance < 1) return false
+    this.#balance -= 1
     return true
   }
 
-  get #burst (): number { return valueOf(this.#options.burst ?? DEFAULT_BURST) }
+  get #burst (): number { return resolve(this.#options.burst ?? DEFAULT_BURST) }
 }
 
-function valueOf (setting: number | (() => number)): number {
+function resolve (setting: number | (() => number)): number {
   return typeof setting === 'function' ? setting() : setting
 }
--- a/core/retry/window_budget.ts
+++ b/core/retry/window_budget.ts
@@ -1,66 +1,66 @@
-/** Limits retries to a fraction of the fresh work of the last while, counted exactly. */
+/** Limits retries to a fraction of first attempts in a sliding window, counted exactly. */
 import { steadyNow } from '../time/index.ts'
 import type { RepeatBudget } from './retry_budget.ts'
 
-/** Options of {@linkcode WindowBudget}. Those that are functions are asked each time. */
+/** Options of {@linkcode WindowBudget}. Functions are evaluated on every use. */
 export interface WindowBudgetOptions {
-  /** Length of the window in milliseconds. */
+  /** Length of the window, in milliseconds. */
   windowMs: number
-  /** Retries allowed for each fresh request of the window. */
+  /** Retries allowed per first attempt in the window. */
   fraction (): number
-  /** Retries allowed beside. */
+  /** Additional retries allowed per window, independent of traffic. */
   beside (): number
-  /** Part of these that is allowed in the first window: whoever starts again may have used the rest before. Default 1. */
+  /** Fraction of the additional retries allowed in the first window, since a restarted process may have used the rest before. Default: 1. */
   besideAtStart?: number
 }
 
-/** Parts that a window is counted in. */
-const PARTS = 20
+/** Number of slots that a window is divided into. */
+const SLOT_COUNT = 20
 
-interface Part { index: number, fresh: number, repeats: number }
+interface Slot { index: number, firstAttempts: number, repeats: number }
 
 /**
- * Grants retries as long as those of the last window stay below what its fresh work allows.
+ * Grants retries while the number in the window stays within what its first attempts allow.
  *
- * Load pattern: an endpoint with forty streams crashes, and all of them could go on elsewhere at once. A bucket that holds less than a window's worth
- * refuses most of them, though hardly any retry was sent in the seconds before.
+ * Suited to bursts of retries: when an endpoint with forty streams crashes, all of them can be resumed elsewhere at once. A token bucket that
+ * holds less than a window's worth would deny most of them, although hardly any retries were sent in the seconds before.
  */
 export class WindowBudget implements RepeatBudget {
   readonly #options: WindowBudgetOptions
   readonly #startedAtMs = steadyNow()
-  #parts: Part[] = []
+  #slots: Slot[] = []
 
   constructor (options: WindowBudgetOptions) {
     this.#options = options
   }
 
   earn (): void {
-    this.#now().fresh++
+    this.#currentSlot().firstAttempts++
   }
 
   spend (): boolean {
-    const part = this.#now()
-    const fresh = this.#parts.reduce((sum, each) => sum + each.fresh, 0)
-    const repeats = this.#parts.reduce((sum, each) => sum + each.repeats, 0)
-    if (repeats + 1 > fresh * this.#options.fraction() + this.#beside()) return false
-    part.repeats++
+    const slot = this.#currentSlot()
+    const firstAttempts = this.#slots.reduce((sum, each) => sum + each.firstAttempts, 0)
+    const repeats = this.#slots.reduce((sum, each) => sum + each.repeats, 0)
+    if (repeats + 1 > firstAttempts * this.#options.fraction() + this.#extraRetries()) return false
+    slot.repeats++
     return true
   }
 
-  #beside (): number {
+  #extraRetries (): number {
     const { windowMs, beside, besideAtStart = 1 } = this.#options
     return beside() * (steadyNow() - this.#startedAtMs < windowMs ? besideAtStart : 1)
   }
 
-  /** The part that counts now; those that fell out of the window are dropped. */
-  #now (): Part {
-    const index = Math.floor(steadyNow() / (this.#options.windowMs / PARTS))
-    if (this.#parts[0] !== undefined && this.#parts[0].index <= index - PARTS) this.#parts = this.#parts.filter((part) => part.index > index - PARTS)
-    let part = this.#parts.at(-1)
-    if (part?.index !== index) {
-      part = { index, fresh: 0, repeats: 0 }
-      this.#parts.push(part)
+  /** Returns the current slot, after removing the slots that have left the window. */
+  #currentSlot (): Slot {
+    const index = Math.floor(steadyNow() / (this.#options.windowMs / SLOT_COUNT))
+    if (this.#slots[0] !== undefined && this.#slots[0].index <= index - SLOT_COUNT) this.#slots = this.#slots.filter((slot) => slot.index > index - SLOT_COUNT)
+    let slot = this.#slots.at(-1)
+    if (slot?.index !== index) {
+      slot = { index, firstAttempts: 0, repeats: 0 }
+      this.#slots.push(slot)
     }
-    return part
+    return slot
   }
 }
--- a/core/retry/window_budget_test.ts
+++ b/core/retry/window_budget_test.ts
@@ -3,15 +3,15 @@
 import { WindowBudget } from './index.ts'
 
 const WINDOW_MS = 10_000
-const budgetOf = (besideAtStart = 1) => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => 0.2, beside: () => 5, besideAtStart })
+const createBudget = (besideAtStart = 1) => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => 0.2, beside: () => 5, besideAtStart })
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-test('the streams of an endpoint that crashed go on elsewhere, if few retries were sent before', () => {
-  // Callers lose answers that could have gone on: an endpoint crashes with forty streams, and the budget holds five retries though a window's worth
-  // of them was never used.
-  const budget = budgetOf()
+test('the streams of a crashed endpoint are resumed elsewhere if few retries were sent before', () => {
+  // Guards against callers that lose resumable answers: an endpoint with forty streams crashes, and the budget holds only five retries, although a
+  // window's worth of them was never used.
+  const budget = createBudget()
   for (let i = 0; i < 200; i++) {
     budget.earn()
     vi.advanceTimersByTime(45)
@@ -19,18 +19,18 @@
   expect(Array.from({ length: 60 }, () => budget.spend()).filter(Boolean)).toHaveLength(45)
 })
 
-test('whoever starts again has less in its first window', () => {
+test('a restarted budget grants fewer retries in its first window', () => {
   const granted = () => Array.from({ length: 9 }, () => budget.spend()).filter(Boolean).length
-  const budget = budgetOf(0.4)
+  const budget = createBudget(0.4)
   expect(granted()).toBe(2)
   vi.advanceTimersByTime(2 * WINDOW_MS)
   expect(granted()).toBe(5)
 })
 
-test('in no window more retries are granted than its fresh work and that of the window before allow', () => {
+test('no window grants more retries than the first attempts in it and in the window before allow', () => {
   const step = fc.record({ gapMs: fc.integer({ min: 0, max: 900 }), fresh: fc.integer({ min: 0, max: 20 }), tries: fc.integer({ min: 0, max: 20 }) })
   fc.assert(fc.property(fc.array(step, { minLength: 20, maxLength: 80 }), (steps) => {
-    const budget = budgetOf()
+    const budget = createBudget()
     const fresh: number[] = []
     const granted: number[] = []
     for (const { gapMs, fresh: requests, tries } of steps) {
@@ -46,8 +46,8 @@
   }), { seed: 17, numRuns: 200 })
 })
 
-test('daemons that are parted, unequally used and restarted together send no more retries than all of them may', () => {
-  // Guards against shares that add up to more than the whole: no daemon knows what the others spend.
+test('partitioned, unevenly loaded and restarted daemons together stay within the retry limit of the fleet', () => {
+  // Guards against shares that add up to more than the total: no daemon knows how many retries the others send.
   const daemons = 9
   const [ratio, beside, usedPart, atStart] = [0.2, 58, 0.8, 0.25]
   const share = () => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => ratio * usedPart, beside: () => beside * usedPart / daemons, besideAtStart: atStart })
@@ -59,7 +59,7 @@
     const granted: number[] = []
     for (const { gapMs, at, fresh: requests, tries, restarts } of steps) {
       vi.advanceTimersByTime(gapMs)
-      // At most once a window: what is spent twice over by faster restarts is not bounded.
+      // At most one restart per window: retries granted again after faster restarts are not bounded.
       if (restarts && performance.now() - restartedAtMs[at]! > WINDOW_MS) {
         budgets[at] = share()
         restartedAtMs[at] = performance.now()
