--- a/core/retry/retry_budget.ts
+++ b/core/retry/retry_budget.ts
@@ -8,7 +8,7 @@
   burst?: number | (() => number)
   /** Initial balance as a fraction of the burst. Default: 1. */
   initialFill?: number
-  /** Whether retries of requests from a leaving or lost endpoint count. Default: false, since moving those does not cause a retry storm. */
+  /** Whether retries of requests from a leaving or lost endpoint count. Default: false, since moving those causes no retry storm. */
   includeGoneEndpoints?: boolean
 }
 
--- a/core/rollout/comparison.ts
+++ b/core/rollout/comparison.ts
@@ -1,6 +1,6 @@
 /** Compares the answers of two versions over the same period. */
 import { as, type ClassName } from '../ids/index.ts'
-import { successCount, newAnswerCount, slowerCount, sumCounts, type AnswerCounts, type Answers, type ClassAnswers } from './answers.ts'
+import { newAnswerCount, slowerCount, successCount, sumCounts, type AnswerCounts, type Answers, type ClassAnswers } from './answers.ts'
 import { evidenceAbove, wilsonUpperBound } from './sequential.ts'
 
 /** Aspect in which versions are compared. */
--- a/core/rollout/version_rule.ts
+++ b/core/rollout/version_rule.ts
@@ -15,7 +15,7 @@
 /**
  * Derives the rule from a rollout's record.
  *
- * A version receives nothing unless an order names it and a decider has started that order: endpoints of a new version are listed before every
+ * A new version receives nothing unless an order names it and a decider has started that order: endpoints of a new version are listed before every
  * daemon knows of the order, and exposure counts from the first request.
  * @param record Undefined if no rollout was ever ordered.
  * @param options.before Version that served the pool before any order.
