--- a/daemon/fleet/lease_task.ts
+++ b/daemon/fleet/lease_task.ts
@@ -7,14 +7,14 @@
 import { log } from '../log/index.ts'
 
 /** What the holder tells the others that contend, each time that it has written. */
-export interface LeaseWord { name: string, record: LeaseRecord, version: number }
+export interface LeaseAnnouncement { name: string, record: LeaseRecord, version: number }
 
 /** How the daemons that contend for a lease hear of each other. */
 export interface LeasePeers {
   /** Tells the others. */
-  tell (word: LeaseWord): void
+  announce (announcement: LeaseAnnouncement): void
   /** Registers who hears the others' words. */
-  onWord (hear: (word: LeaseWord) => void): void
+  onAnnouncement (listener: (word: LeaseAnnouncement) => void): void
 }
 
 /** Options of {@linkcode LeaseTask}. */
@@ -87,7 +87,7 @@
   constructor (options: LeaseTaskOptions) {
     this.#options = options
     this.#key = `lease/${options.name}`
-    options.peers?.onWord((word) => this.#told(word))
+    options.peers?.onAnnouncement((word) => this.#told(word))
   }
 
   /**
@@ -202,7 +202,7 @@
   }
 
   /** A word may come late; only one of a later version than this daemon has seen tells anything. */
-  #told ({ name, record, version }: LeaseWord): void {
+  #told ({ name, record, version }: LeaseAnnouncement): void {
     if (name !== this.#options.name || version <= this.#state.version || this.#stopped || !this.#fresh) return
     this.#toldAtMs = steadyNow()
     this.#learn({ record, version })
@@ -224,7 +224,7 @@
     if (record.fencing !== this.#state.record?.fencing) this.#raise = false
     this.#driftMs = driftMs
     this.#learn({ record, version: result.version })
-    this.#options.peers?.tell({ name: this.#options.name, record, version: result.version })
+    this.#options.peers?.announce({ name: this.#options.name, record, version: result.version })
   }
 
   #learn (found: { record: LeaseRecord, version: number } | undefined): void {
--- a/daemon/fleet/lease_task_test.ts
+++ b/daemon/fleet/lease_task_test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { as, type DaemonId, type EndpointId } from '../../core/ids/index.ts'
 import { Ledger, StandInEngine, StandInStore } from '../../standins/index.ts'
-import { LeaseTask, type LeasePeers, type LeaseWord } from './lease_task.ts'
+import { LeaseTask, type LeasePeers, type LeaseAnnouncement } from './lease_task.ts'
 import { OrderKeeper, type WantedState } from './order_keeper.ts'
 
 const TTL_MS = 10_000
@@ -44,12 +44,12 @@
 /** Words between the daemons that contend, which can be cut off. */
 class Words {
   cut = false
-  readonly #hearers = new Map<string, (word: LeaseWord) => void>()
+  readonly #hearers = new Map<string, (word: LeaseAnnouncement) => void>()
 
   of (name: string): LeasePeers {
     return {
-      tell: (word) => { if (!this.cut) for (const [other, hear] of this.#hearers) if (other !== name) hear(word) },
-      onWord: (hear) => { this.#hearers.set(name, hear) }
+      announce: (word) => { if (!this.cut) for (const [other, hear] of this.#hearers) if (other !== name) hear(word) },
+      onAnnouncement: (hear) => { this.#hearers.set(name, hear) }
     }
   }
 }
--- a/daemon/peers/lease_words.ts
+++ b/daemon/peers/lease_words.ts
@@ -1,34 +1,34 @@
-/** Carries the words of a lease's holder to the daemons that would follow it. */
+/** Announces lease renewals to the daemons that contend for the lease. */
 import type { DaemonId } from '../../core/ids/index.ts'
-import type { LeasePeers, LeaseWord } from '../fleet/lease_task.ts'
+import type { LeasePeers, LeaseAnnouncement } from '../fleet/lease_task.ts'
 import type { Links } from './links.ts'
 
-/** Options of {@linkcode LeaseWords}. */
-export interface LeaseWordsOptions {
+/** Options of {@linkcode LeaseAnnouncer}. */
+export interface LeaseAnnouncerOptions {
   self: DaemonId
   links: Links
-  /** Daemons that contend for the lease. */
+  /** Daemons that contend for the lease, which may include this one. */
   contenders (): ReadonlyArray<{ id: DaemonId, address: string }>
 }
 
-const RENEWED = 'lease-renewed'
+const RENEWED_TOPIC = 'lease-renewed'
 
-/** Words of leases over the links between daemons. */
+/** Sends and receives lease announcements over the links between daemons. */
 export class LeaseWords implements LeasePeers {
-  readonly #options: LeaseWordsOptions
+  readonly #options: LeaseAnnouncerOptions
 
-  constructor (options: LeaseWordsOptions) {
+  constructor (options: LeaseAnnouncerOptions) {
     this.#options = options
   }
 
-  tell (word: LeaseWord): void {
+  announce (announcement: LeaseAnnouncement): void {
     const { self, links, contenders } = this.#options
     for (const contender of contenders()) {
-      if (contender.id !== self && !links.post(contender.id, RENEWED, word)) links.connect(contender)
+      if (contender.id !== self && !links.post(contender.id, RENEWED_TOPIC, announcement)) links.connect(contender)
     }
   }
 
-  onWord (hear: (word: LeaseWord) => void): void {
-    this.#options.links.onPost(RENEWED, hear)
+  onAnnouncement (listener: (announcement: LeaseAnnouncement) => void): void {
+    this.#options.links.onPost(RENEWED_TOPIC, listener)
   }
 }
--- a/daemon/peers/links.ts
+++ b/daemon/peers/links.ts
@@ -1,66 +1,69 @@
-/** What daemons need of the connections between them, whatever carries them. */
+/** Transport-independent interface of the connections between daemons. */
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Gossip } from '../../core/membership/index.ts'
 
-/** Answers a call; may send parts before it returns. `signal` aborts when the asking daemon is gone. */
+/** Handles a call. `part` streams a partial result before the method returns; `signal` aborts when the link to the caller closes. */
 export type PeerMethod = (args: never, context: { from: DaemonId, part: (value: unknown) => void, signal: AbortSignal }) => Promise<unknown>
 
-/** Takes a message that wants no answer. */
+/** Handles a one-way message. */
 export type PostHandler = (value: never, from: DaemonId) => void
 
 /** Options of a call. */
 export interface CallOptions {
-  /** Default 3,000. */
+  /** Time to wait for the reply, in milliseconds. Default 3,000. */
   timeoutMs?: number
-  /** Receives the parts of an answer that comes in parts. */
+  /** Receives the partial results of a streamed reply. */
   part?: (value: unknown) => void
 }
 
-/** What became of a dial: `gone` where no process listens at the daemon's address, or another one. */
+/** Result of a connection attempt; `gone` when nothing listens at the daemon's address or a different daemon does. */
 export type ConnectResult = 'linked' | 'gone' | 'unreachable'
 
-/** What happens on the links; set by their owner before it listens. */
+/** Event handlers of the links; set by their owner before it calls `listen`. */
 export interface LinkEvents {
   onGossip (from: DaemonId, gossip: Gossip): void
   onLink (to: DaemonId): void
 }
 
-/** Connections of one daemon to others. */
+/** Connections of one daemon to the others. */
 export interface Links {
-  /** Says who takes gossip and new links. */
+  /** Sets the handlers for gossip and new links. */
   bind (events: LinkEvents): void
-  /** Registers the answer to a method. */
-  handle (method: string, answer: PeerMethod): void
-  /** Listens; returns the address that other daemons dial. */
+  /** Registers the handler of a method. */
+  handle (method: string, handler: PeerMethod): void
+  /** Starts listening and returns the address that other daemons connect to. */
   listen (host: string, port: number): Promise<string>
-  /** Keeps links to these addresses; others are closed when idle. */
+  /** Keeps links to exactly these addresses open; other outgoing links are closed once idle. */
   keep (addresses: readonly string[]): void
-  /** Dials the kept links that broke and closes the idle ones. */
+  /** Periodic maintenance: reconnects kept links that broke, probes silent links and closes idle ones. `now` is in milliseconds of the steady clock. */
   tend (now: number): void
-  /** Sends gossip if there is a link. */
+  /** Sends gossip; does nothing without a link. */
   gossip (to: DaemonId, gossip: Gossip): void
-  /** Dials a daemon that there is no link to, for the messages that follow. */
+  /** Connects to a daemon unless a link is open already. */
   connect (to: { id: DaemonId, address: string }): Promise<ConnectResult>
-  /** Sends a message without an answer; false when there is no link. */
+  /** Sends a one-way message; returns false when there is no link. */
   post (to: DaemonId, topic: string, value: unknown): boolean
-  /** Registers who takes the messages of a topic. */
-  onPost (topic: string, take: PostHandler): void
-  /** Gives a link up that is silent; it is dialled again when it is kept. */
+  /** Registers the handler for the messages of a topic. */
+  onPost (topic: string, handler: PostHandler): void
+  /** Terminates the link to a daemon; a kept link is reconnected by the next maintenance run. */
   reset (to: DaemonId): void
-  /** Asks another daemon. Throws {@linkcode PeerError}. */
+  /**
+   * Calls a method of another daemon.
+   * @throws {PeerError} When the daemon cannot be reached, does not reply in time or reports a failure.
+   */
   call (to: { id: DaemonId, address: string }, method: string, args: unknown, options?: CallOptions): Promise<unknown>
-  /** Closes everything. */
+  /** Stops listening and closes all links. */
   close (): Promise<void>
 }
 
-/** A daemon could not be asked or did not answer. */
+/** Thrown when a call to another daemon fails. */
 export class PeerError extends Error {
   override name = 'PeerError'
-  /** True when the call never left this daemon. */
+  /** True when the call was never sent. */
   readonly notSent: boolean
 
-  constructor (what: string, options: { notSent: boolean, cause?: unknown }) {
-    super(what, { cause: options.cause })
+  constructor (message: string, options: { notSent: boolean, cause?: unknown }) {
+    super(message, { cause: options.cause })
     this.notSent = options.notSent
   }
 }
--- a/daemon/peers/load_task.ts
+++ b/daemon/peers/load_task.ts
@@ -1,4 +1,4 @@
-/** Tells one daemon what this one runs at each endpoint, and hears from it what the others run. */
+/** Reports this daemon's load at each endpoint to the keeper, and receives the aggregated load of the other daemons from it. */
 import type { DaemonId } from '../../core/ids/index.ts'
 import { VOTE_MS } from '../../core/quota/index.ts'
 import { LoadBoard, reportIntervalMs, type EndpointWork } from '../../core/routing/index.ts'
@@ -12,73 +12,73 @@
   self: DaemonId
   membership: MembershipTask
   table: EndpointTable
-  /** Whoever counts quotas sums up loads, too. */
+  /** Selects the keeper: the daemon that counts quotas also aggregates load. */
   limits: Pick<AccountLimits, 'keeper' | 'onVote'>
 }
 
-/** Reports of a daemon that runs nothing, in milliseconds. */
-const IDLE_REPORT_MS = 600
-/** What was told of others is not believed any longer than this, in milliseconds. */
-const BELIEVED_MS = 1500
-const REPORT = 'load-report'
-const OTHERS = 'load-others'
+/** Interval between reports of an idle daemon, in milliseconds. */
+const IDLE_REPORT_INTERVAL_MS = 600
+/** Load of other daemons older than this is discarded, in milliseconds. */
+const OTHERS_WORK_TTL_MS = 1500
+const REPORT_TOPIC = 'load-report'
+const OTHERS_TOPIC = 'load-others'
 
-/** Owns the exchange of loads. */
+/** Exchanges load reports between daemons. */
 export class LoadTask {
   readonly #options: LoadTaskOptions
   readonly #board = new LoadBoard()
-  #between: NodeJS.Timeout[] = []
-  #reportedAtMs = -Infinity
-  #reportedWork = false
-  #toldAtMs = -Infinity
+  #reportTimers: NodeJS.Timeout[] = []
+  #lastReportAtMs = -Infinity
+  #lastReportHadWork = false
+  #othersReceivedAtMs = -Infinity
 
   constructor (options: LoadTaskOptions) {
     this.#options = options
     const { links } = options.membership
-    links.onPost(REPORT, (loads: EndpointWork[], from) => {
+    links.onPost(REPORT_TOPIC, (loads: EndpointWork[], from) => {
       this.#board.report(from, loads, steadyNow())
-      links.post(from, OTHERS, this.#board.othersOf(from, steadyNow()))
+      links.post(from, OTHERS_TOPIC, this.#board.othersOf(from, steadyNow()))
     })
-    links.onPost(OTHERS, (loads: EndpointWork[]) => this.#told(loads))
+    links.onPost(OTHERS_TOPIC, (loads: EndpointWork[]) => this.#applyOthersWork(loads))
   }
 
-  /** Begins to report. */
+  /** Starts reporting. */
   start (): void {
-    this.#options.limits.onVote(() => this.#voted())
+    this.#options.limits.onVote(() => this.#onVote())
   }
 
-  /** Stops. */
+  /** Stops reporting. */
   stop (): void {
     this.#options.limits.onVote(() => {})
-    for (const timer of this.#between) clearTimeout(timer)
+    for (const timer of this.#reportTimers) clearTimeout(timer)
   }
 
-  /** A report goes with each vote, and in small fleets some more between it and the next. */
-  #voted (): void {
-    const everyMs = reportIntervalMs(this.#options.membership.answering.length)
+  /** Reports together with each keeper vote; small fleets also report between votes. */
+  #onVote (): void {
+    const everyMs = reportIntervalMs(this.#options.membership.reachable.length)
     this.#report()
-    this.#between = []
-    for (let ms = everyMs; ms < VOTE_MS; ms += everyMs) this.#between.push(setTimeout(() => this.#report(), ms))
+    this.#reportTimers = []
+    for (let ms = everyMs; ms < VOTE_MS; ms += everyMs) this.#reportTimers.push(setTimeout(() => this.#report(), ms))
   }
 
   #report (): void {
     const { self, membership, table, limits } = this.#options
     const now = steadyNow()
     const work = table.ownWork
-    const chosen = limits.keeper
-    if (chosen === undefined) {
+    const keeper = limits.keeper
+    if (keeper === undefined) {
       this.#board.report(self, work, now)
-      return this.#told(this.#board.othersOf(self, now))
+      return this.#applyOthersWork(this.#board.othersOf(self, now))
     }
-    if (now - this.#toldAtMs > BELIEVED_MS) table.othersWork([])
-    if (work.length === 0 && !this.#reportedWork && now - this.#reportedAtMs < IDLE_REPORT_MS) return
-    this.#reportedAtMs = now
-    this.#reportedWork = work.length > 0
-    membership.links.post(chosen, REPORT, work)
+    if (now - this.#othersReceivedAtMs > OTHERS_WORK_TTL_MS) table.othersWork([])
+    if (work.length === 0 && !this.#lastReportHadWork && now - this.#lastReportAtMs < IDLE_REPORT_INTERVAL_MS) return
+    this.#lastReportAtMs = now
+    this.#lastReportHadWork = work.length > 0
+    membership.links.post(keeper, REPORT_TOPIC, work)
   }
 
-  #told (loads: readonly EndpointWork[]): void {
-    this.#toldAtMs = steadyNow()
+  #applyOthersWork (loads: readonly EndpointWork[]): void {
+    this.#othersReceivedAtMs = steadyNow()
     this.#options.table.othersWork(loads)
   }
 }
--- a/daemon/peers/membership_task.ts
+++ b/daemon/peers/membership_task.ts
@@ -1,4 +1,4 @@
-/** Runs the core's membership over the links between daemons. */
+/** Runs the membership protocol over the links between daemons. */
 import type { DaemonId, FailureDomain } from '../../core/ids/index.ts'
 import { Derived, HEARTBEAT_MS, Membership, mayAnswer, rankedFor, takesWork, type Fact, type Gossip, type Member, type MemberState, type MembershipEffect } from '../../core/membership/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
@@ -11,62 +11,63 @@
 /** Options of {@linkcode MembershipTask}. */
 export interface MembershipTaskOptions {
   self: DaemonId
-  /** Where other daemons connect. */
+  /** Address to listen on for other daemons. */
   listen: { host: string, port: number }
   failureDomain: FailureDomain
-  /** Processor cores that this daemon's host gives it. Default: not said. */
+  /** Processor cores available to this daemon on its host. Default: not announced. */
   cores?: number | undefined
-  /** Addresses of a few other daemons, some of which may be gone. */
+  /** Addresses of a few other daemons; some may be stale. */
   seeds: readonly string[]
   store: ObjectStore
   links: Links
   hash: Hash32
   metrics: Metrics
   random: () => number
-  /** Name under which the daemon registers in the store; one that outlives its process leaves no dead entries. Default: its id. */
+  /** Name under which the daemon registers in the store; a name that is stable across restarts leaves no stale entries. Default: its id. */
   registeredAs?: string
 }
 
-/** Called with each new fact and the daemon that told it. */
+/** Called with each new fact and the daemon it came from. */
 export type FactListener = (fact: Fact, from: DaemonId) => void
 
-const REGISTER_EVERY_MS = 300_000
+const REGISTER_INTERVAL_MS = 300_000
 const REGISTER_RETRY_MS = 3000
-/** A registration this old belongs to a daemon that is gone. */
-const REGISTRATION_KEPT_MS = 3 * REGISTER_EVERY_MS
+/** Age beyond which a registration is ignored: its daemon is dead. */
+const REGISTRATION_TTL_MS = 3 * REGISTER_INTERVAL_MS
 const JOIN_RETRY_MS = 2000
-/** Addresses tried at once to find the others: a few of them may belong to hosts that are gone. */
-const JOIN_DIALS = 6
-const FAREWELL_MS = 300
-/** Ticks between words to a daemon that is thought gone. */
-const PROBE_EVERY = 5
-/** How long a rumour waits for others to the same neighbour. */
-const RUMOUR_WAIT_MS = 20
-
-/** Where a daemon can be found, as it wrote to the store. */
+/** Addresses dialed at once when joining: a few of them may belong to hosts that no longer exist. */
+const MAX_JOIN_DIALS = 6
+/** Time for the departure message to be sent before the links close, in milliseconds. */
+const LEAVE_FLUSH_MS = 300
+/** Ticks between probes of a daemon that was declared dead. */
+const PROBE_INTERVAL_TICKS = 5
+/** How long a gossip update waits for others to the same neighbor, in milliseconds. */
+const GOSSIP_BATCH_MS = 20
+
+/** Address of a daemon as stored under `members/`. */
 interface Registration { id: DaemonId, address: string, atMs: number }
 
-/** Owns this daemon's view of the others. */
+/** Maintains this daemon's view of the other daemons. */
 export class MembershipTask {
   readonly links: Links
   readonly #options: MembershipTaskOptions
   readonly #factListeners: FactListener[] = []
   readonly #memberListeners: Array<(member: Member) => void> = []
   readonly #linkListeners: Array<(to: DaemonId) => void> = []
-  readonly #rumours = new Map<DaemonId, Gossip>()
+  readonly #pendingGossip = new Map<DaemonId, Gossip>()
   #core: Membership | undefined
   #timers: NodeJS.Timeout[] = []
-  /** Addresses of a few other daemons, used until one of them was heard. */
+  /** Addresses of a few other daemons, used until contact with one of them. */
   seeds: readonly string[]
   #registeredVersion = 0
   #joined = false
   #ticks = 0
   #successors: readonly Member[] = []
-  /** States that the log has, of daemons that are there: a record may change in other fields. */
-  readonly #states = new Map<DaemonId, MemberState>()
-  #alone = false
+  /** Last logged state of each live daemon: records also change in fields that are not logged. */
+  readonly #loggedStates = new Map<DaemonId, MemberState>()
+  #noPeersKnown = false
   readonly #working = new Derived<readonly Member[]>()
-  readonly #answering = new Derived<readonly Member[]>()
+  readonly #reachable = new Derived<readonly Member[]>()
   readonly #ranked = new Map<string, Derived<readonly Member[]>>()
 
   constructor (options: MembershipTaskOptions) {
@@ -76,51 +77,54 @@
     this.links.bind({
       onGossip: (from, gossip) => {
         this.#joined = true
-        this.#run(this.core.receive(from, gossip, steadyNow()))
+        this.#applyEffects(this.core.receive(from, gossip, steadyNow()))
       },
       onLink: (to) => {
-        this.#run(this.core.linked(to))
+        this.#applyEffects(this.core.linked(to))
         for (const listener of this.#linkListeners) listener(to)
       }
     })
   }
 
-  /** The view; present once started. */
+  /**
+   * The membership state machine.
+   * @throws {Error} Before the task is started.
+   */
   get core (): Membership {
     if (!this.#core) throw new Error('Cannot read members: task is not started')
     return this.#core
   }
 
-  /** True once another daemon was heard, or none was found: before that the others cannot find this one's answers. */
-  get joined (): boolean { return this.#joined || this.#alone }
+  /** True after contact with another daemon, or when no other daemon is known. Before that, the others cannot find the answers held here. */
+  get joined (): boolean { return this.#joined || this.#noPeersKnown }
 
-  /** Daemons that take new work, this one included unless it drains. */
+  /** Daemons that accept new work, including this one unless it is draining. */
   get working (): readonly Member[] { return this.#working.get(this.core.version, () => this.core.members.filter(takesWork)) }
 
-  /** Daemons that are there, as far as is known. */
-  get answering (): readonly Member[] { return this.#answering.get(this.core.version, () => this.core.members.filter(mayAnswer)) }
+  /** Daemons that can presumably be reached: up, draining or suspect. */
+  get reachable (): readonly Member[] { return this.#reachable.get(this.core.version, () => this.core.members.filter(mayAnswer)) }
 
-  /** Daemons that can do a job for all, the first choice first. */
+  /** Candidates for a fleet-wide job, in order of preference; draining daemons are excluded. */
   rankedFor (job: string): readonly Member[] {
     let ranked = this.#ranked.get(job)
     if (!ranked) {
       ranked = new Derived()
       this.#ranked.set(job, ranked)
     }
-    return ranked.get(this.core.version, () => rankedFor(job, this.answering.filter((member) => member.state !== 'draining'), this.#options.hash))
+    return ranked.get(this.core.version, () => rankedFor(job, this.reachable.filter((member) => member.state !== 'draining'), this.#options.hash))
   }
 
-  /** True while this daemon is the first choice for a job, among all daemons that it has heard of. */
+  /** True while this daemon ranks first for a job among all daemons it knows. */
   isFirstFor (job: string): boolean {
     return this.joined && this.rankedFor(job)[0]?.id === this.#options.self
   }
 
-  /** Listens, joins and begins to tick. */
+  /** Starts listening, joins the fleet and starts the heartbeat. */
   async start (): Promise<void> {
     const { listen, failureDomain, cores, self, hash } = this.#options
     const address = await this.links.listen(listen.host, listen.port)
     this.#core = new Membership({ self: { id: self, address, failureDomain, ...(cores !== undefined && { cores }) }, hash, now: steadyNow() })
-    this.#timers.push(setInterval(() => this.#tick(), HEARTBEAT_MS), setInterval(() => this.#register(), REGISTER_EVERY_MS))
+    this.#timers.push(setInterval(() => this.#tick(), HEARTBEAT_MS), setInterval(() => this.#register(), REGISTER_INTERVAL_MS))
     this.#register()
     this.#join()
   }
@@ -130,27 +134,27 @@
     this.#factListeners.push(listener)
   }
 
-  /** Registers a listener for each change of another daemon's record. */
+  /** Registers a listener for changes to other daemons' records. */
   onMember (listener: (member: Member) => void): void {
     this.#memberListeners.push(listener)
   }
 
-  /** Registers a listener for each link that comes up. */
+  /** Registers a listener for newly established links. */
   onLink (listener: (to: DaemonId) => void): void {
     this.#linkListeners.push(listener)
   }
 
-  /** Tells all daemons a fact. */
+  /** Publishes a fact to all daemons. */
   tell (fact: Fact): void {
-    this.#run(this.core.setFact(fact, steadyNow()))
+    this.#applyEffects(this.core.setFact(fact, steadyNow()))
   }
 
-  /** Changes this daemon's own record. */
+  /** Updates this daemon's own record. */
   setSelf (change: Partial<Pick<Member, 'state' | 'revision' | 'heir'>>): void {
-    this.#run(this.core.setSelf(change, steadyNow()))
+    this.#applyEffects(this.core.setSelf(change, steadyNow()))
   }
 
-  /** Follows heirs until a daemon that can be asked. */
+  /** Follows the chain of heirs to the first reachable daemon; undefined when there is none. */
   holderOf (id: DaemonId): Member | undefined {
     let member = this.core.member(id)
     for (let hops = 0; member && !mayAnswer(member) && member.heir !== undefined && hops < 8; hops++) member = this.core.member(member.heir)
@@ -158,18 +162,18 @@
   }
 
   /**
-   * Says that this daemon left and who holds its answers, then closes.
+   * Announces that this daemon left and which heir holds its answers, then closes.
    *
-   * Closing at once would cut the links with the word still in them: the others would take the daemon for crashed, and callers would wait
-   * for seconds until its heir is asked.
+   * Closing immediately would drop the announcement while it is still in the send buffers: the others would treat the daemon as crashed, and
+   * callers would wait for seconds until its heir is asked.
    */
   async leave (heir: DaemonId | undefined): Promise<void> {
     this.setSelf({ state: 'left', heir })
-    await Promise.all([this.#unregister(), delay(FAREWELL_MS)])
+    await Promise.all([this.#unregister(), delay(LEAVE_FLUSH_MS)])
     await this.stop()
   }
 
-  /** Closes without a word. */
+  /** Closes without announcing it. */
   async stop (): Promise<void> {
     this.#timers.forEach(clearInterval)
     this.#timers = []
@@ -177,8 +181,8 @@
   }
 
   #tick (): void {
-    this.#run(this.core.tick(steadyNow()))
-    if (++this.#ticks % PROBE_EVERY === 0) this.#probeGone()
+    this.#applyEffects(this.core.tick(steadyNow()))
+    if (++this.#ticks % PROBE_INTERVAL_TICKS === 0) this.#probeGone()
     this.links.tend(steadyNow())
     const counts = new Map<string, number>()
     for (const member of this.core.members) counts.set(member.state, (counts.get(member.state) ?? 0) + 1)
@@ -186,78 +190,78 @@
     for (const [state, count] of counts) this.#options.metrics.members.set({ state }, count)
   }
 
-  #run (effects: readonly MembershipEffect[]): void {
+  #applyEffects (effects: readonly MembershipEffect[]): void {
     for (const effect of effects) {
       if (effect.type === 'send') this.#send(effect.to, effect.gossip)
-      else if (effect.type === 'links') this.#keep(effect.dial)
+      else if (effect.type === 'links') this.#keepLinks(effect.dial)
       else if (effect.type === 'fact') this.#factListeners.forEach((listener) => listener(effect.fact, effect.from))
-      else if (effect.member.id !== this.#options.self) this.#memberChanged(effect.member)
+      else if (effect.member.id !== this.#options.self) this.#onMemberChange(effect.member)
     }
   }
 
   /**
-   * Sends a heartbeat at once and lets rumours wait for others.
+   * Sends heartbeats and full tables immediately and batches updates.
    *
-   * A new configuration makes every daemon's record change at the same time; each record in a message of its own would cost a daemon
-   * thousands of messages in a moment.
+   * A new configuration changes every daemon's record at the same time; one message for each record would cost a daemon thousands of messages
+   * in a burst.
    */
   #send (to: DaemonId, gossip: Gossip): void {
     if (gossip.members.length + gossip.facts.length === 0 || gossip.whole !== undefined) return this.links.gossip(to, gossip)
-    const waiting = this.#rumours.get(to)
-    if (waiting) {
-      waiting.members.push(...gossip.members)
-      waiting.facts.push(...gossip.facts)
+    const pending = this.#pendingGossip.get(to)
+    if (pending) {
+      pending.members.push(...gossip.members)
+      pending.facts.push(...gossip.facts)
       return
     }
-    this.#rumours.set(to, { members: [...gossip.members], facts: [...gossip.facts] })
+    this.#pendingGossip.set(to, { members: [...gossip.members], facts: [...gossip.facts] })
     setTimeout(() => {
-      this.links.gossip(to, newestOfEach(this.#rumours.get(to)!))
-      this.#rumours.delete(to)
-    }, RUMOUR_WAIT_MS)
+      this.links.gossip(to, latestPerMember(this.#pendingGossip.get(to)!))
+      this.#pendingGossip.delete(to)
+    }, GOSSIP_BATCH_MS)
   }
 
-  #keep (successors: readonly Member[], probed?: Member): void {
+  #keepLinks (successors: readonly Member[], probed?: Member): void {
     this.#successors = successors
     this.links.keep([...successors, ...(probed ? [probed] : [])].map((member) => member.address))
   }
 
   /**
-   * Says now and then to a daemon that is thought gone how things stand.
+   * Periodically sends the membership table to a random daemon that was declared dead.
    *
-   * When regions lose each other, each takes all of the other for gone and closes its links; nobody would ever speak to the other side again,
-   * and the fleet would stay in two parts. A daemon that hears it is thought gone refutes it.
+   * In a partition between regions, each side declares the other dead and closes its links. Without probes neither side would contact the other
+   * again after the partition heals. A daemon that learns it was declared dead refutes it.
    */
   #probeGone (): void {
     const gone = this.core.members.filter((member) => member.state === 'gone')
     const probed = gone[Math.floor(this.#options.random() * gone.length)]
     if (!probed) return
-    this.#keep(this.#successors, probed)
-    this.#run(this.core.linked(probed.id))
+    this.#keepLinks(this.#successors, probed)
+    this.#applyEffects(this.core.linked(probed.id))
   }
 
-  #memberChanged (member: Member): void {
-    if (this.#states.get(member.id) !== member.state) log('member-changed', { peer: member.id, state: member.state })
-    if (mayAnswer(member)) this.#states.set(member.id, member.state)
-    else this.#states.delete(member.id)
+  #onMemberChange (member: Member): void {
+    if (this.#loggedStates.get(member.id) !== member.state) log('member-changed', { peer: member.id, state: member.state })
+    if (mayAnswer(member)) this.#loggedStates.set(member.id, member.state)
+    else this.#loggedStates.delete(member.id)
     for (const listener of this.#memberListeners) listener(member)
   }
 
-  /** Finds the others through settings and the store; during an outage of the store the settings alone must do. */
+  /** Finds other daemons through the seeds and the store; during a store outage, through the seeds alone. */
   async #join (): Promise<void> {
-    const addresses = [...this.seeds, ...await this.#registered()]
+    const addresses = [...this.seeds, ...await this.#registeredAddresses()]
     const own = this.core.self.address
     const others = addresses.filter((address) => address !== own)
-    this.#alone = others.length === 0
+    this.#noPeersKnown = others.length === 0
     shuffle(others, this.#options.random)
-    this.links.keep(others.slice(0, JOIN_DIALS))
+    this.links.keep(others.slice(0, MAX_JOIN_DIALS))
     setTimeout(() => { if (!this.#joined && this.#timers.length > 0) this.#join() }, JOIN_RETRY_MS)
   }
 
-  async #registered (): Promise<string[]> {
+  async #registeredAddresses (): Promise<string[]> {
     try {
       const found = await this.#options.store.list('members/')
-      const fresh = Date.now() - REGISTRATION_KEPT_MS
-      return found.map((object) => JSON.parse(object.value) as Registration).filter((entry) => entry.atMs > fresh).map((entry) => entry.address)
+      const oldestAtMs = Date.now() - REGISTRATION_TTL_MS
+      return found.map((object) => JSON.parse(object.value) as Registration).filter((entry) => entry.atMs > oldestAtMs).map((entry) => entry.address)
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
       return []
@@ -268,44 +272,44 @@
     const { self, store } = this.#options
     const value = JSON.stringify({ id: self, address: this.core.self.address, atMs: Date.now() } satisfies Registration)
     try {
-      this.#registeredVersion = this.#registeredVersion === 0 ? await store.create(this.#key, value) : await store.update(this.#key, value, this.#registeredVersion)
+      this.#registeredVersion = this.#registeredVersion === 0 ? await store.create(this.#registrationKey, value) : await store.update(this.#registrationKey, value, this.#registeredVersion)
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
-      // The key is this daemon's alone: a conflict is its own lost answer, or the entry of a process before it.
-      if (isStoreFailure(err, 'conflict')) await this.#registerAgain(value)
-      else this.#registerLater(err)
+      // Only this daemon writes the key: a conflict stems from its own unacknowledged write or from an earlier process.
+      if (isStoreFailure(err, 'conflict')) await this.#reregister(value)
+      else this.#scheduleRegistration(err)
     }
   }
 
-  async #registerAgain (value: string): Promise<void> {
+  async #reregister (value: string): Promise<void> {
     const { store } = this.#options
     try {
-      const found = await store.get(this.#key)
-      this.#registeredVersion = found ? await store.update(this.#key, value, found.version) : await store.create(this.#key, value)
+      const found = await store.get(this.#registrationKey)
+      this.#registeredVersion = found ? await store.update(this.#registrationKey, value, found.version) : await store.create(this.#registrationKey, value)
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
       this.#registeredVersion = 0
-      this.#registerLater(err)
+      this.#scheduleRegistration(err)
     }
   }
 
-  /** Until it is registered, a daemon is found by those only that it finds itself. */
-  #registerLater (err: StoreError): void {
+  /** Until the daemon is registered, only daemons it contacts itself can find it. */
+  #scheduleRegistration (err: StoreError): void {
     log('not-registered', { why: err.message })
     setTimeout(() => { if (this.#timers.length > 0) this.#register() }, REGISTER_RETRY_MS * (0.5 + this.#options.random()))
   }
 
-  get #key (): string {
+  get #registrationKey (): string {
     return `members/${this.#options.registeredAs ?? this.#options.self}`
   }
 
   async #unregister (): Promise<void> {
-    await this.#options.store.remove(this.#key, this.#registeredVersion).catch((err: Error) => log('not-registered', { why: err.message }))
+    await this.#options.store.remove(this.#registrationKey, this.#registeredVersion).catch((err: Error) => log('not-registered', { why: err.message }))
   }
 }
 
-/** A record that changed twice while it waited is sent once. */
-function newestOfEach (gossip: Gossip): Gossip {
+/** Keeps the latest record of each member: one that changed several times within a batch is sent once. */
+function latestPerMember (gossip: Gossip): Gossip {
   return { ...gossip, members: [...new Map(gossip.members.map((member) => [member.id, member])).values()] }
 }
 
--- a/daemon/peers/peer_links.ts
+++ b/daemon/peers/peer_links.ts
@@ -1,4 +1,4 @@
-/** Connections between daemons: gossip to neighbours, calls to any daemon, answers in parts. */
+/** Connections between daemons over WebSocket: gossip to neighbors, calls to any daemon, streamed replies. */
 import { setMaxListeners } from 'node:events'
 import { Packr } from 'msgpackr'
 import { WebSocket, WebSocketServer } from 'ws'
@@ -10,9 +10,9 @@
 import { log } from '../log/index.ts'
 import type { Metrics } from '../metrics.ts'
 
-/** What daemons send each other. A kind that this version does not know is counted and ignored. */
+/** Messages between daemons. Unknown kinds are counted and ignored, so that newer versions may add some. */
 type PeerMessage =
-  /** `takesBatches` where a frame may hold a list of messages; versions that do not say so would take it for a stray one. */
+  /** `takesBatches`: the sender accepts frames with a list of messages. Versions that do not announce it reject such frames as malformed. */
   | { kind: 'hello', id: DaemonId, secret: string, takesBatches?: true }
   | { kind: 'gossip', gossip: Gossip }
   | { kind: 'call', call: number, method: string, args: unknown }
@@ -32,41 +32,42 @@
   socket: WebSocket
   peer: DaemonId | undefined
   address: string | undefined
-  usedAtMs: number
-  heardAtMs: number
-  /** Ticks in a row in which nothing was heard. */
-  quietTicks: number
+  lastUsedAtMs: number
+  lastReceivedAtMs: number
+  /** Consecutive ticks without received data. */
+  silentTicks: number
   abort: AbortController
   takesBatches: boolean
-  /** Messages of this turn of the event loop. */
-  unsent: PeerMessage[]
+  /** Messages queued in this turn of the event loop. */
+  sendQueue: PeerMessage[]
 }
-interface Waiting { resolve (value: unknown): void, reject (err: Error): void, part: ((value: unknown) => void) | undefined, link: Link }
+interface PendingCall { resolve (value: unknown): void, reject (err: Error): void, part: ((value: unknown) => void) | undefined, link: Link }
 
 const CONNECT_TIMEOUT_MS = 1500
-const IDLE_CLOSE_MS = 60_000
+const IDLE_TIMEOUT_MS = 60_000
 const CALL_TIMEOUT_MS = 3000
-const SILENCE_MS = 5000
+/** Silence after which a link with a pending call is terminated, in milliseconds. */
+const CALL_SILENCE_TIMEOUT_MS = 5000
 /**
- * Ticks without a word after which a link is given up: it was pinged at the first and the second. Counted in ticks, since a daemon that stood still itself
- * has not read yet what came meanwhile.
+ * Consecutive silent ticks after which a link is terminated; pings start at the second silent tick. Counted in ticks rather than time: a daemon that was
+ * paused itself has not yet read what arrived meanwhile.
  */
-const MOST_QUIET_TICKS = 3
+const MAX_SILENT_TICKS = 3
 
-/** Owns the sockets to and from other daemons. */
+/** Manages the sockets to and from other daemons. */
 export class PeerLinks implements Links {
   readonly #options: PeerLinksOptions
   readonly #packr = new Packr({ useRecords: true })
   readonly #links = new Map<DaemonId, Link>()
-  /** Who answered at an address, however the link to it came about. */
-  readonly #peerAt = new Map<string, DaemonId>()
+  /** The daemon that answered at each dialed address. */
+  readonly #peerByAddress = new Map<string, DaemonId>()
   readonly #dialing = new Map<string, Promise<Link>>()
-  readonly #waiting = new Map<number, Waiting>()
+  readonly #pendingCalls = new Map<number, PendingCall>()
   readonly #methods = new Map<string, PeerMethod>()
-  readonly #posts = new Map<string, PostHandler>()
+  readonly #postHandlers = new Map<string, PostHandler>()
   #server: WebSocketServer | undefined
-  #keep = new Set<string>()
-  #calls = 0
+  #keptAddresses = new Set<string>()
+  #lastCallId = 0
   #closed = false
   #events: LinkEvents = { onGossip () {}, onLink () {} }
 
@@ -78,46 +79,48 @@
     this.#events = events
   }
 
-  handle (method: string, answer: PeerMethod): void {
-    this.#methods.set(method, answer)
+  handle (method: string, handler: PeerMethod): void {
+    this.#methods.set(method, handler)
   }
 
   async listen (host: string, port: number): Promise<string> {
     const server = new WebSocketServer({ host, port, perMessageDeflate: false })
     this.#server = server
-    server.on('connection', (socket) => this.#adopt(socket, undefined))
+    server.on('connection', (socket) => this.#attach(socket, undefined))
     await new Promise<void>((resolve, reject) => server.once('listening', resolve).once('error', reject))
     return `${host}:${(server.address() as AddressInfo).port}`
   }
 
   keep (addresses: readonly string[]): void {
-    this.#keep = new Set(addresses)
+    this.#keptAddresses = new Set(addresses)
     for (const address of addresses) this.#dial(address).catch(() => {})
   }
 
   tend (now: number): void {
-    for (const address of this.#keep) this.#dial(address).catch(() => {})
+    for (const address of this.#keptAddresses) this.#dial(address).catch(() => {})
     for (const link of this.#links.values()) {
       this.#checkSilence(link, now)
-      const kept = link.address === undefined || this.#keep.has(link.address)
-      if (!kept && now - link.usedAtMs > IDLE_CLOSE_MS) link.socket.close()
+      const kept = link.address === undefined || this.#keptAddresses.has(link.address)
+      if (!kept && now - link.lastUsedAtMs > IDLE_TIMEOUT_MS) link.socket.close()
     }
   }
 
   /**
-   * A parted network closes no connection, and one that carries nothing any more stays open: a call over it would wait for its whole timeout, minutes for a
-   * followed answer, and word for the other daemons would reach nobody. Pings on quiet links make the silence show within seconds; the link is dialled anew.
+   * Detects half-open links.
+   *
+   * A network partition closes no connection. A call over a dead link would wait for its whole timeout, which is minutes for a streamed answer, and gossip
+   * would be lost. Pings on silent links expose a dead one within seconds; it is terminated and dialed again.
    */
   #checkSilence (link: Link, now: number): void {
-    const waitedFor = [...this.#waiting.values()].some((waiting) => waiting.link === link)
-    link.quietTicks++
-    if (link.quietTicks > MOST_QUIET_TICKS || (waitedFor && now - link.heardAtMs > SILENCE_MS)) link.socket.terminate()
-    else if (waitedFor || link.quietTicks > 1) link.socket.ping()
+    const hasPendingCall = [...this.#pendingCalls.values()].some((pending) => pending.link === link)
+    link.silentTicks++
+    if (link.silentTicks > MAX_SILENT_TICKS || (hasPendingCall && now - link.lastReceivedAtMs > CALL_SILENCE_TIMEOUT_MS)) link.socket.terminate()
+    else if (hasPendingCall || link.silentTicks > 1) link.socket.ping()
   }
 
-  #heard (link: Link): void {
-    link.heardAtMs = steadyNow()
-    link.quietTicks = 0
+  #recordActivity (link: Link): void {
+    link.lastReceivedAtMs = steadyNow()
+    link.silentTicks = 0
   }
 
   gossip (to: DaemonId, gossip: Gossip): void {
@@ -140,13 +143,13 @@
   post (to: DaemonId, topic: string, value: unknown): boolean {
     const link = this.#links.get(to)
     if (!link) return false
-    link.usedAtMs = steadyNow()
+    link.lastUsedAtMs = steadyNow()
     this.#send(link, { kind: 'post', topic, value })
     return true
   }
 
-  onPost (topic: string, take: PostHandler): void {
-    this.#posts.set(topic, take)
+  onPost (topic: string, handler: PostHandler): void {
+    this.#postHandlers.set(topic, handler)
   }
 
   reset (to: DaemonId): void {
@@ -155,21 +158,21 @@
 
   async call (to: { id: DaemonId, address: string }, method: string, args: unknown, options: CallOptions = {}): Promise<unknown> {
     const link = this.#links.get(to.id) ?? await this.#dial(to.address)
-    link.usedAtMs = steadyNow()
-    // The silence counts from now: a link that nobody used has every right to be silent.
-    link.heardAtMs = steadyNow()
-    const call = ++this.#calls
+    link.lastUsedAtMs = steadyNow()
+    // Silence is measured from the start of the call: an unused link is legitimately silent.
+    link.lastReceivedAtMs = steadyNow()
+    const call = ++this.#lastCallId
     return await new Promise((resolve, reject) => {
-      const timer = setTimeout(() => this.#settle(call, (waiting) => waiting.reject(new PeerError(`Cannot ask ${to.id}: no answer`, { notSent: false }))), options.timeoutMs ?? CALL_TIMEOUT_MS)
+      const timer = setTimeout(() => this.#settleCall(call, (pending) => pending.reject(new PeerError(`Cannot call ${to.id}: no reply`, { notSent: false }))), options.timeoutMs ?? CALL_TIMEOUT_MS)
       const done = () => clearTimeout(timer)
-      this.#waiting.set(call, {
+      this.#pendingCalls.set(call, {
         resolve: (value) => { done(); resolve(value) },
         reject: (err) => { done(); reject(err) },
         part: options.part,
         link
       })
       this.#send(link, { kind: 'call', call, method, args })
-      // Somebody waits for the answer.
+      // Calls are latency-sensitive and do not wait for the batch.
       this.#flush(link)
     })
   }
@@ -182,7 +185,7 @@
   }
 
   #dial (address: string): Promise<Link> {
-    const linked = this.#links.get(this.#peerAt.get(address)!)
+    const linked = this.#links.get(this.#peerByAddress.get(address)!)
     if (linked) return Promise.resolve(linked)
     let dialing = this.#dialing.get(address)
     if (!dialing) {
@@ -193,66 +196,66 @@
   }
 
   #connect (address: string): Promise<Link> {
-    if (this.#closed) return Promise.reject(new PeerError('Cannot connect: closed', { notSent: true }))
+    if (this.#closed) return Promise.reject(new PeerError('Cannot connect: links are closed', { notSent: true }))
     return new Promise((resolve, reject) => {
       const socket = new WebSocket(`ws://${address}`, { handshakeTimeout: CONNECT_TIMEOUT_MS, perMessageDeflate: false })
-      const refuse = (err: unknown) => reject(new PeerError(`Cannot connect to ${address}`, { notSent: true, cause: err }))
+      const fail = (err: unknown) => reject(new PeerError(`Cannot connect to ${address}`, { notSent: true, cause: err }))
       const timer = setTimeout(() => {
-        refuse(new Error('no hello'))
+        fail(new Error('timed out waiting for hello'))
         socket.terminate()
       }, CONNECT_TIMEOUT_MS)
-      socket.once('error', refuse)
-      socket.once('close', () => { clearTimeout(timer); refuse(new Error('closed')) })
-      socket.once('open', () => this.#adopt(socket, address, (link) => { clearTimeout(timer); resolve(link) }))
+      socket.once('error', fail)
+      socket.once('close', () => { clearTimeout(timer); fail(new Error('connection closed before hello')) })
+      socket.once('open', () => this.#attach(socket, address, (link) => { clearTimeout(timer); resolve(link) }))
     })
   }
 
-  #adopt (socket: WebSocket, address: string | undefined, ready?: (link: Link) => void): void {
+  #attach (socket: WebSocket, address: string | undefined, ready?: (link: Link) => void): void {
     const abort = new AbortController()
     setMaxListeners(0, abort.signal)
-    const link: Link = { socket, peer: undefined, address, usedAtMs: steadyNow(), heardAtMs: steadyNow(), quietTicks: 0, abort, takesBatches: false, unsent: [] }
+    const link: Link = { socket, peer: undefined, address, lastUsedAtMs: steadyNow(), lastReceivedAtMs: steadyNow(), silentTicks: 0, abort, takesBatches: false, sendQueue: [] }
     socket.on('error', () => socket.terminate())
-    socket.on('close', () => this.#drop(link))
-    socket.on('pong', () => this.#heard(link))
+    socket.on('close', () => this.#onClose(link))
+    socket.on('pong', () => this.#recordActivity(link))
     socket.on('message', (data: Buffer) => {
-      this.#heard(link)
+      this.#recordActivity(link)
       this.#options.metrics.peerBytes.inc({ direction: 'in' }, data.length)
       this.#options.metrics.peerMessages.inc({ direction: 'in' })
       try {
         const unpacked = this.#packr.unpack(data) as PeerMessage | PeerMessage[]
-        if (Array.isArray(unpacked)) unpacked.forEach((msg) => this.#take(link, msg))
-        else this.#take(link, unpacked, ready)
+        if (Array.isArray(unpacked)) unpacked.forEach((msg) => this.#dispatch(link, msg))
+        else this.#dispatch(link, unpacked, ready)
       } catch (err) {
-        this.#refuse(link, err as Error)
+        this.#rejectMessage(link, err as Error)
       }
     })
     this.#write(link, { kind: 'hello', id: this.#options.self, secret: this.#options.secret, takesBatches: true })
   }
 
-  #take (link: Link, msg: PeerMessage, ready?: (link: Link) => void): void {
-    if (typeof msg.kind !== 'string') throw new TypeError('it is of no kind')
-    if (msg.kind === 'hello') this.#greeted(link, msg, ready)
+  #dispatch (link: Link, msg: PeerMessage, ready?: (link: Link) => void): void {
+    if (typeof msg.kind !== 'string') throw new TypeError('message has no kind')
+    if (msg.kind === 'hello') this.#onHello(link, msg, ready)
     else if (link.peer !== undefined) this.#receive(link, link.peer, msg)
   }
 
   /**
-   * Bytes that are no message, or one whose fields make no sense, from a stray program or a broken peer.
+   * Terminates a link that received malformed data, from a foreign program or a faulty peer.
    *
-   * Thrown on, it would end the process with all that its callers wait for. Only the link ends: whatever else comes on it may be as wrong.
+   * An uncaught error would end the process and fail all open requests. Later data on the same link may be just as malformed.
    */
-  #refuse (link: Link, err: Error): void {
-    log('peer-message-refused', { peer: link.peer ?? 'not greeted', why: err.message })
+  #rejectMessage (link: Link, err: Error): void {
+    log('peer-message-refused', { peer: link.peer ?? 'unidentified', why: err.message })
     link.socket.terminate()
   }
 
-  #greeted (link: Link, msg: Extract<PeerMessage, { kind: 'hello' }>, ready?: (link: Link) => void): void {
+  #onHello (link: Link, msg: Extract<PeerMessage, { kind: 'hello' }>, ready?: (link: Link) => void): void {
     if (msg.secret !== this.#options.secret || msg.id === this.#options.self) {
       link.socket.terminate()
       return
     }
     link.peer = msg.id
     link.takesBatches = msg.takesBatches === true
-    if (link.address !== undefined) this.#peerAt.set(link.address, msg.id)
+    if (link.address !== undefined) this.#peerByAddress.set(link.address, msg.id)
     const other = this.#links.get(msg.id)
     if (other && !this.#isPreferred(link)) {
       link.socket.terminate()
@@ -266,33 +269,33 @@
   }
 
   /**
-   * Of two links to one daemon, the one that the lower id dialled stays, at both ends.
+   * Of two links between the same daemons, both ends keep the one dialed by the daemon with the lower id.
    *
-   * Neighbours that dial each other at once would otherwise each keep their own, not find the other's, and dial again every second; each
-   * new link then carries the whole table.
+   * Otherwise neighbors that dial each other simultaneously would keep different links, find none at the other's address and dial again every
+   * second, each time exchanging the full membership table.
    */
   #isPreferred (link: Link): boolean {
-    const dialler = link.address === undefined ? link.peer! : this.#options.self
-    return dialler < (link.address === undefined ? this.#options.self : link.peer!)
+    const dialer = link.address === undefined ? link.peer! : this.#options.self
+    return dialer < (link.address === undefined ? this.#options.self : link.peer!)
   }
 
-  #drop (link: Link): void {
+  #onClose (link: Link): void {
     link.abort.abort()
     if (link.peer !== undefined && this.#links.get(link.peer) === link) this.#links.delete(link.peer)
-    for (const [call, waiting] of this.#waiting) {
-      if (waiting.link === link) this.#settle(call, () => waiting.reject(new PeerError('Cannot ask daemon: connection lost', { notSent: false })))
+    for (const [call, pending] of this.#pendingCalls) {
+      if (pending.link === link) this.#settleCall(call, () => pending.reject(new PeerError('Cannot call daemon: connection lost', { notSent: false })))
     }
   }
 
   #receive (link: Link, from: DaemonId, msg: PeerMessage): void {
-    link.usedAtMs = steadyNow()
+    link.lastUsedAtMs = steadyNow()
     switch (msg.kind) {
       case 'gossip': return this.#events.onGossip(from, msg.gossip)
       case 'call': { this.#answer(link, from, msg); return }
-      case 'post': return this.#posts.get(msg.topic)?.(msg.value as never, from)
-      case 'part': return this.#waiting.get(msg.call)?.part?.(msg.value)
-      case 'reply': return this.#settle(msg.call, (waiting) => waiting.resolve(msg.value))
-      case 'fail': return this.#settle(msg.call, (waiting) => waiting.reject(new PeerError(msg.error, { notSent: false })))
+      case 'post': return this.#postHandlers.get(msg.topic)?.(msg.value as never, from)
+      case 'part': return this.#pendingCalls.get(msg.call)?.part?.(msg.value)
+      case 'reply': return this.#settleCall(msg.call, (pending) => pending.resolve(msg.value))
+      case 'fail': return this.#settleCall(msg.call, (pending) => pending.reject(new PeerError(msg.error, { notSent: false })))
       default: this.#options.metrics.peerUnknown.inc()
     }
   }
@@ -300,7 +303,7 @@
   async #answer (link: Link, from: DaemonId, msg: Extract<PeerMessage, { kind: 'call' }>): Promise<void> {
     const { call } = msg
     const method = this.#methods.get(msg.method)
-    if (!method) return this.#send(link, { kind: 'fail', call, error: `Cannot answer: no method ${msg.method}` })
+    if (!method) return this.#send(link, { kind: 'fail', call, error: `Cannot call: unknown method ${msg.method}` })
     try {
       const part = (value: unknown) => this.#send(link, { kind: 'part', call, value })
       const value = await method(msg.args as never, { from, part, signal: link.abort.signal })
@@ -310,21 +313,21 @@
     }
   }
 
-  #settle (call: number, act: (waiting: Waiting) => void): void {
-    const waiting = this.#waiting.get(call)
-    if (!waiting) return
-    this.#waiting.delete(call)
-    act(waiting)
+  #settleCall (call: number, settle: (pending: PendingCall) => void): void {
+    const pending = this.#pendingCalls.get(call)
+    if (!pending) return
+    this.#pendingCalls.delete(call)
+    settle(pending)
   }
 
-  /** What one turn of the event loop says to a daemon travels in one frame: packing, writing and waking cost as much as many short messages. */
+  /** Batches the messages of one event loop turn into a single frame: the fixed cost of packing, writing and waking up equals many short messages. */
   #send (link: Link, msg: PeerMessage): void {
-    if (link.unsent.push(msg) === 1) setImmediate(() => this.#flush(link))
+    if (link.sendQueue.push(msg) === 1) setImmediate(() => this.#flush(link))
   }
 
   #flush (link: Link): void {
-    const msgs = link.unsent
-    link.unsent = []
+    const msgs = link.sendQueue
+    link.sendQueue = []
     if (msgs.length > 1 && link.takesBatches) this.#write(link, msgs)
     else for (const msg of msgs) this.#write(link, msg)
   }
@@ -334,6 +337,6 @@
     const data = this.#packr.pack(msg)
     this.#options.metrics.peerBytes.inc({ direction: 'out' }, data.length)
     this.#options.metrics.peerMessages.inc({ direction: 'out' })
-    link.socket.send(data, (err) => { if (err) log('peer-send-failed', { peer: link.peer ?? 'not greeted', why: err.message }) })
+    link.socket.send(data, (err) => { if (err) log('peer-send-failed', { peer: link.peer ?? 'unidentified', why: err.message }) })
   }
 }
--- a/daemon/peers/peer_links_test.ts
+++ b/daemon/peers/peer_links_test.ts
@@ -8,19 +8,19 @@
 import { PeerLinks } from './peer_links.ts'
 
 const SECRET = 'shared-secret'
-const open: Array<{ close (): Promise<void> | void }> = []
+const cleanups: Array<{ close (): Promise<void> | void }> = []
 
-afterEach(async () => { for (const each of open.splice(0)) await each.close() })
+afterEach(async () => { for (const each of cleanups.splice(0)) await each.close() })
 
 async function start (name: string, secret = SECRET) {
   const metrics = createMetrics()
   const id = as<DaemonId>(name)
   const links = new PeerLinks({ self: id, secret, metrics })
-  open.push(links)
+  cleanups.push(links)
   return { id, links, metrics, address: await links.listen('127.0.0.1', 0) }
 }
 
-test('a call is answered in parts and then whole', async () => {
+test('a call streams partial results before its final result', async () => {
   const [a, b] = [await start('a'), await start('b')]
   b.links.handle('count', async (to: number, { part }) => {
     for (let i = 1; i <= to; i++) part(i)
@@ -31,14 +31,14 @@
   expect(parts).toEqual([1, 2, 3])
 })
 
-test('a daemon with another secret is not answered', async () => {
+test('a daemon with a different secret is rejected', async () => {
   const [a, b] = [await start('a'), await start('b', 'another-secret')]
   b.links.handle('anything', async () => 'secret')
   await expect(a.links.call(b, 'anything', null)).rejects.toThrow('Cannot connect')
 })
 
-test('a message of a kind that this version does not know is counted and ignored', async () => {
-  // During a replacement of daemons, newer ones send what older ones have never heard of; an older one that broke on it would leave.
+test('a message of an unknown kind is counted and ignored', async () => {
+  // Guards against a rolling update in which newer daemons send kinds that older ones do not know and the older ones fail on them.
   const a = await start('a')
   const packr = new Packr({ useRecords: true })
   const newer = new WebSocket(`ws://${a.address}`)
@@ -51,8 +51,8 @@
   newer.terminate()
 })
 
-test('what one moment says to a daemon travels in one frame, in order', async () => {
-  // A daemon of a large fleet spends a third of its idle time on packing, writing and reading short messages to the same few others, one frame each.
+test('messages sent in one event loop turn share one frame, in order', async () => {
+  // Guards against one frame per short message: in a large fleet, packing, writing and reading those took a third of an idle daemon's processor time.
   const [a, b] = [await start('a'), await start('b')]
   const heard: unknown[] = []
   for (const topic of ['vote', 'load']) b.links.onPost(topic, (value: unknown) => { heard.push(value) })
@@ -66,8 +66,8 @@
   expect(await frames() - before).toBe(1)
 })
 
-test('a daemon of a version that reads one message a frame is sent one a frame', async () => {
-  // While daemons are replaced by newer ones, an older one that is sent a list takes it for stray bytes and ends the link, again and again.
+test('a peer that does not announce batches gets one message per frame', async () => {
+  // Guards against a rolling update in which an older daemon treats a batch as malformed and closes the link again and again.
   const a = await start('a')
   const packr = new Packr({ useRecords: true })
   const older = new WebSocket(`ws://${a.address}`)
@@ -83,9 +83,9 @@
   older.terminate()
 })
 
-test('neighbours that dial each other at once end with one link', async () => {
-  // Operators see each pair of daemons exchange their whole tables every second. Both dialled at once, each kept the link it had not
-  // dialled, found none at the other's address, and dialled again.
+test('neighbors that dial each other simultaneously end up with one link', async () => {
+  // Guards against pairs of daemons that exchange their full membership tables every second: when both dialed at once, each kept the link it had
+  // not dialed, found none at the other's address and dialed again.
   const [a, b] = [await start('a'), await start('b')]
   const links: string[] = []
   a.links.bind({ onGossip () {}, onLink: (to) => links.push(to) })
@@ -100,12 +100,12 @@
   expect(links.length).toBeLessThanOrEqual(4)
 })
 
-test('an open call over a link gone silent is given up within seconds', async () => {
-  // A caller follows its answer through another daemon and waits for ever: the network parted, and no connection was closed.
+test('a pending call over a dead link fails within seconds', async () => {
+  // Guards against a caller that waits forever for an answer streamed through another daemon: a network partition closes no connection.
   const a = await start('a')
   const silent = new WebSocketServer({ host: '127.0.0.1', port: 0, autoPong: false })
   await new Promise((resolve) => silent.once('listening', resolve))
-  open.push({ close: () => { silent.clients.forEach((socket) => socket.terminate()); silent.close() } })
+  cleanups.push({ close: () => { silent.clients.forEach((socket) => socket.terminate()); silent.close() } })
   silent.on('connection', (socket) => socket.send(new Packr({ useRecords: true }).pack({ kind: 'hello', id: 'b', secret: SECRET })))
   const address = `127.0.0.1:${(silent.address() as AddressInfo).port}`
   const call = a.links.call({ id: as<DaemonId>('b'), address }, 'follow', null, { timeoutMs: 600_000 })
@@ -116,8 +116,8 @@
   await expect(call).rejects.toThrow('connection lost')
 })
 
-test('bytes that are no message end the link they came on, and nothing else', async () => {
-  // All callers of a daemon are cut off at once: some program sent a few stray bytes to its peers' port, and the process ended.
+test('malformed data closes only the link it arrived on', async () => {
+  // Guards against a crash that cuts off all callers of a daemon when a foreign program sends a few bytes to its peer port.
   const [a, b] = [await start('a'), await start('b')]
   b.links.handle('echo', async (value) => value)
   b.links.onPost('sum', (values: number[]) => { values.reduce((sum, value) => sum + value, 0) })
@@ -133,12 +133,12 @@
   await expect.poll(async () => await a.links.call(b, 'echo', 6).catch(() => undefined)).toBe(6)
 })
 
-/** Passes bytes on to a daemon, until it carries nothing any more on the connections that are open; new ones work. */
-async function wire (to: string): Promise<{ address: string, hush (): void }> {
+/** Forwards bytes to a daemon. `freeze` stops forwarding on the open connections without closing them; new connections work. */
+async function startProxy (to: string): Promise<{ address: string, freeze (): void }> {
   const sockets = new Set<Socket>()
-  const server = createServer((near) => {
-    const far = connect(Number(to.split(':')[1]), '127.0.0.1')
-    for (const [from, on] of [[near, far], [far, near]] as const) {
+  const server = createServer((client) => {
+    const upstream = connect(Number(to.split(':')[1]), '127.0.0.1')
+    for (const [from, on] of [[client, upstream], [upstream, client]] as const) {
       sockets.add(from)
       from.on('data', (data) => { if (sockets.has(from)) on.write(data) })
       from.on('error', () => on.destroy())
@@ -146,17 +146,17 @@
     }
   })
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
-  open.push({ close: () => { server.close() } })
-  return { address: `127.0.0.1:${(server.address() as AddressInfo).port}`, hush: () => sockets.clear() }
+  cleanups.push({ close: () => { server.close() } })
+  return { address: `127.0.0.1:${(server.address() as AddressInfo).port}`, freeze: () => sockets.clear() }
 }
 
-test('a link that carries nothing any more is replaced, though nobody waits for an answer on it', async () => {
-  // Guards against links between daemons that went silent and stay open.
+test('a dead link without pending calls is replaced', async () => {
+  // Guards against half-open links between daemons that are never detected.
   const [a, b] = [await start('a'), await start('b')]
-  const between = await wire(b.address)
+  const proxy = await startProxy(b.address)
   const linked: string[] = []
   a.links.bind({ onGossip () {}, onLink: (to) => linked.push(to) })
-  a.links.keep([between.address])
+  a.links.keep([proxy.address])
   const tick = async (times: number) => {
     for (let i = 0; i < times; i++) {
       a.links.tend(steadyNow())
@@ -165,7 +165,7 @@
   }
   await tick(6)
   expect(linked).toEqual([b.id])
-  between.hush()
+  proxy.freeze()
   await tick(6)
   expect(linked).toEqual([b.id, b.id])
 })
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -1,4 +1,4 @@
-/** Follows the store through a few daemons: asks them what has changed, and answers those that ask this one. */
+/** Follows the store through other daemons: requests changes from a few of them and serves changes to others, which saves watches on the store. */
 import { newsSources } from '../../core/relay/index.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
@@ -15,39 +15,39 @@
   links: Links
   /** This daemon's own record. */
   self (): Member
-  /** Daemons that take new work, this one included. */
+  /** Daemons that accept new work, including this one. */
   working (): readonly Member[]
   hash: Hash32
   metrics: Metrics
-  /** Time in which a change must be known everywhere, in milliseconds: an endpoint that left may get new work for so long. */
+  /** Time limit for a change to reach every daemon, in milliseconds: an endpoint that left may get new work for this long. */
   newsMs: number
 }
 
-/** What a daemon asks another: changes of a prefix after a version, within a wait. */
-interface Question { prefix: string, after: number, waitMs: number }
-/** The answer: changes, and how long ago their source in the store answered last, in milliseconds. */
-interface Answer extends Changes { ageMs: number }
+/** Long-poll request for the changes of a prefix after a version. */
+interface ChangesRequest { prefix: string, after: number, waitMs: number }
+/** `ageMs`: time since the store itself last answered, through whichever daemons, in milliseconds. */
+interface ChangesResponse extends Changes { ageMs: number }
 
 /**
- * Part of the time for news that a question waits where there is none; after twice as long without an answer whoever was asked is taken for silent. Half of the
- * time is left to ask the store.
+ * Fraction of the propagation limit for which a request waits for changes. After twice as long without a reply the source counts as failed, which leaves
+ * half of the limit for asking the store itself.
  */
-const WAIT_PART = 1 / 4
-/** A daemon that failed to answer is not asked for this long, in milliseconds: links that went silent are dialled anew in four seconds. */
-const PASSED_OVER_MS = 4000
+const REQUEST_WAIT_FRACTION = 1 / 4
+/** How long a daemon that failed to reply is skipped, in milliseconds: silent links are replaced within four seconds. */
+const FAILED_SOURCE_BACKOFF_MS = 4000
 /**
- * Part of the time for news that a watch of the store may wait. A watcher whose watch gets no answer gives it up a moment later and is known to have lost the
- * store while there is still time: those that ask it ask the store themselves.
+ * Fraction of the propagation limit for which a watch on the store waits. A watcher whose watch gets no answer abandons it shortly after that and reports the
+ * store as lost while its clients still have time to ask the store themselves.
  */
-const WATCH_PART = 1 / 2
+const WATCH_WAIT_FRACTION = 1 / 2
 /**
- * Age of news that is still passed on, as a part of the time for news: a watch's wait and its grace, and two daemons between. More means that daemons ask each
- * other in a circle, or have lost the store without noticing.
+ * Maximum age of state that is still served, as a multiple of the propagation limit: the wait of a watch, its grace period and two intermediate daemons. Older
+ * state means that daemons ask each other in a cycle or have lost the store without noticing.
  */
-const MOST_AGE_PART = 3 / 2
-const ASK = 'store-changes'
+const MAX_AGE_FACTOR = 3 / 2
+const CHANGES_METHOD = 'store-changes'
 
-/** Owns the exchange of what changes in the store; one for all prefixes that a daemon follows. */
+/** Exchanges store changes with other daemons; one instance serves all prefixes that a daemon follows. */
 export class StoreRelay {
   readonly #options: StoreRelayOptions
   readonly #followed = new Map<string, FollowedPrefix>()
@@ -55,29 +55,29 @@
 
   constructor (options: StoreRelayOptions) {
     this.#options = options
-    options.links.handle(ASK, async ({ prefix, after, waitMs }: Question) => {
+    options.links.handle(CHANGES_METHOD, async ({ prefix, after, waitMs }: ChangesRequest) => {
       const followed = this.#followed.get(prefix)
-      if (!followed) throw new Error(`Cannot tell of ${prefix}: it is not followed here`)
+      if (!followed) throw new Error(`Cannot serve changes of ${prefix}: this daemon does not follow it`)
       return await followed.answer(after, waitMs)
     })
   }
 
-  /** How long a watch of the store itself may wait, in milliseconds. */
-  get watchWaitMs (): number { return this.#options.newsMs * WATCH_PART }
+  /** How long a watch on the store itself may wait, in milliseconds. */
+  get watchWaitMs (): number { return this.#options.newsMs * WATCH_WAIT_FRACTION }
 
-  /** The objects of a prefix, to be followed from here. */
+  /** Returns a source for the objects of a prefix and starts serving the prefix to other daemons. */
   source (prefix: string): ObjectSource {
     const { store, newsMs } = this.#options
-    const followed = new FollowedPrefix(prefix, { store, mostAgeMs: newsMs * MOST_AGE_PART, ask: (after) => this.#ask(prefix, after) })
+    const followed = new FollowedPrefix(prefix, { store, maxAgeMs: newsMs * MAX_AGE_FACTOR, fetchChanges: (after) => this.#fetchChanges(prefix, after) })
     this.#followed.set(prefix, followed)
     return followed
   }
 
-  /** Asks the daemons in their order; undefined when the store itself should be asked. */
-  async #ask (prefix: string, after: number): Promise<Answer | undefined> {
+  /** Tries the source daemons in order; undefined when the store itself must be asked. */
+  async #fetchChanges (prefix: string, after: number): Promise<ChangesResponse | undefined> {
     for (const daemon of this.#sources()) {
-      const answer = await this.#askOne(daemon, prefix, after)
-      if (answer) return answer
+      const response = await this.#fetchChangesFrom(daemon, prefix, after)
+      if (response) return response
     }
     return undefined
   }
@@ -85,16 +85,16 @@
   #sources (): Member[] {
     const now = steadyNow()
     const { self, working, hash } = this.#options
-    return newsSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > PASSED_OVER_MS)
+    return newsSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
   }
 
-  async #askOne (daemon: Member, prefix: string, after: number): Promise<Answer | undefined> {
+  async #fetchChangesFrom (daemon: Member, prefix: string, after: number): Promise<ChangesResponse | undefined> {
     const { links, newsMs, metrics } = this.#options
-    const waitMs = newsMs * WAIT_PART
+    const waitMs = newsMs * REQUEST_WAIT_FRACTION
     try {
-      const answer = await links.call(daemon, ASK, { prefix, after, waitMs } satisfies Question, { timeoutMs: 2 * waitMs }) as Answer
-      metrics.newsAge.observe({ prefix }, answer.ageMs)
-      return answer
+      const response = await links.call(daemon, CHANGES_METHOD, { prefix, after, waitMs } satisfies ChangesRequest, { timeoutMs: 2 * waitMs }) as ChangesResponse
+      metrics.newsAge.observe({ prefix }, response.ageMs)
+      return response
     } catch (err) {
       this.#failedAtMs.set(daemon.id, steadyNow())
       log('relay-failed', { peer: daemon.id, prefix, why: (err as Error).message })
@@ -105,96 +105,96 @@
 
 interface FollowedPrefixOptions {
   store: ObjectSource
-  /** Older news are not passed on, in milliseconds. */
-  mostAgeMs: number
-  ask (after: number): Promise<Answer | undefined>
+  /** State older than this is not served to other daemons, in milliseconds. */
+  maxAgeMs: number
+  fetchChanges (after: number): Promise<ChangesResponse | undefined>
 }
 
-/** One prefix as this daemon follows it. */
+/** State of one followed prefix. */
 class FollowedPrefix implements ObjectSource {
   readonly #prefix: string
   readonly #options: FollowedPrefixOptions
   readonly #log = new ChangeLog()
-  readonly #waiting = new Set<() => void>()
-  /** When the store itself was last heard, by whatever way; undefined while it is lost. */
-  #heardAtMs: number | undefined
+  readonly #waiters = new Set<() => void>()
+  /** When the store itself last answered, directly or through other daemons; undefined while the store is unreachable. */
+  #freshAtMs: number | undefined
 
   constructor (prefix: string, options: FollowedPrefixOptions) {
     this.#prefix = prefix
     this.#options = options
   }
 
-  /** Always from the store: a listing follows on a start or a failure, when the others' copies are least to be trusted. */
+  /** Always reads the store: listings follow a start or a failure, when the copies of other daemons are least reliable. */
   async snapshot (): Promise<Snapshot> {
-    const snapshot = await this.#orLost(this.#options.store.snapshot(this.#prefix))
+    const snapshot = await this.#trackFailure(this.#options.store.snapshot(this.#prefix))
     this.#log.listed(snapshot)
-    this.#heard(0)
+    this.#markFresh(0)
     return snapshot
   }
 
   async changes (_prefix: string, { after, waitMs }: { after: number, waitMs: number }): Promise<Changes> {
-    const answer = await this.#options.ask(after)
-    if (answer) {
-      this.#log.changed(answer)
-      this.#heard(answer.ageMs)
-      return { ...answer, checked: true }
+    const response = await this.#options.fetchChanges(after)
+    if (response) {
+      this.#log.changed(response)
+      this.#markFresh(response.ageMs)
+      return { ...response, checked: true }
     }
-    const changes = await this.#orLost(this.#options.store.changes(this.#prefix, { after, waitMs }))
+    const changes = await this.#trackFailure(this.#options.store.changes(this.#prefix, { after, waitMs }))
     this.#log.changed(changes)
-    this.#heard(0)
+    this.#markFresh(0)
     return changes
   }
 
   /**
-   * Answers a daemon that follows through this one.
-   * @throws {Error} When this daemon cannot know: it lost the store, its news are too old, or it does not go back to that version.
+   * Serves changes after a version to another daemon, waiting up to `waitMs` for some.
+   * @throws {Error} When this daemon lost the store, its state is too old, or its change log does not reach back to the version.
    */
-  async answer (after: number, waitMs: number): Promise<Answer> {
-    const untilMs = steadyNow() + waitMs
+  async answer (after: number, waitMs: number): Promise<ChangesResponse> {
+    const deadlineMs = steadyNow() + waitMs
     for (;;) {
-      const ageMs = this.#heardAtMs === undefined ? Infinity : steadyNow() - this.#heardAtMs
-      if (ageMs > this.#options.mostAgeMs) throw new Error(`Cannot tell of ${this.#prefix}: the store was not heard lately`)
+      const ageMs = this.#freshAtMs === undefined ? Infinity : steadyNow() - this.#freshAtMs
+      if (ageMs > this.#options.maxAgeMs) throw new Error(`Cannot serve changes of ${this.#prefix}: the last answer of the store is too old`)
       const changes = this.#log.since(after)
-      if (!changes) throw new Error(`Cannot tell of ${this.#prefix}: changes after version ${after} are not known`)
-      const leftMs = untilMs - steadyNow()
-      if (changes.objects.length + changes.removed.length > 0 || leftMs <= 0) return { ...changes, ageMs }
-      await this.#news(leftMs)
+      if (!changes) throw new Error(`Cannot serve changes of ${this.#prefix}: the change log does not reach back to version ${after}`)
+      const remainingMs = deadlineMs - steadyNow()
+      if (changes.objects.length + changes.removed.length > 0 || remainingMs <= 0) return { ...changes, ageMs }
+      await this.#waitForUpdate(remainingMs)
     }
   }
 
-  async #orLost<T> (call: Promise<T>): Promise<T> {
+  async #trackFailure<T> (call: Promise<T>): Promise<T> {
     try {
       return await call
     } catch (err) {
-      // Whoever asks this daemon must ask the store instead, and learn whether it is away: entries that lapse in an outage are told from endpoints that left.
-      if (err instanceof StoreError && err.failure !== 'history-gone') this.#lost()
+      // Daemons that ask this one must ask the store themselves and see an outage: entries that lapse in an outage are treated differently from endpoints that left.
+      if (err instanceof StoreError && err.failure !== 'history-gone') this.#markLost()
       throw err
     }
   }
 
-  #lost (): void {
-    this.#heardAtMs = undefined
-    this.#wake()
+  #markLost (): void {
+    this.#freshAtMs = undefined
+    this.#wakeWaiters()
   }
 
-  #heard (ageMs: number): void {
-    this.#heardAtMs = steadyNow() - ageMs
-    this.#wake()
+  #markFresh (ageMs: number): void {
+    this.#freshAtMs = steadyNow() - ageMs
+    this.#wakeWaiters()
   }
 
-  #wake (): void {
-    for (const wake of [...this.#waiting]) wake()
+  #wakeWaiters (): void {
+    for (const wake of [...this.#waiters]) wake()
   }
 
-  #news (longestMs: number): Promise<void> {
+  #waitForUpdate (timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
         clearTimeout(timer)
-        this.#waiting.delete(done)
+        this.#waiters.delete(done)
         resolve()
       }
-      const timer = setTimeout(done, longestMs)
-      this.#waiting.add(done)
+      const timer = setTimeout(done, timeoutMs)
+      this.#waiters.add(done)
     })
   }
 }
--- a/daemon/peers/store_relay_test.ts
+++ b/daemon/peers/store_relay_test.ts
@@ -10,10 +10,10 @@
 import { createMetrics } from '../metrics.ts'
 import { StoreRelay } from './store_relay.ts'
 
-/** Time in which a change must be known everywhere, in milliseconds. */
-const NEWS_MS = 2000
+/** Time limit for a change to reach every daemon, in milliseconds. */
+const PROPAGATION_MS = 2000
 const PREFIX = 'servers/'
-/** Time beyond its wait after which a watch that gets no answer is given up, as the platform's client does, in milliseconds. */
+/** Grace period after its wait before an unanswered watch fails, as in the platform's client, in milliseconds. */
 const WATCH_GRACE_MS = 750
 
 beforeEach(() => { vi.useFakeTimers() })
@@ -21,10 +21,10 @@
 
 const { h32: hash } = await xxhash()
 
-/** One daemon's way to the store, which can be shut. */
-class OwnStore implements ObjectSource {
-  shut = false
-  silent = false
+/** One daemon's access to the store, which can be cut off or left without answers. */
+class StoreAccess implements ObjectSource {
+  isCutOff = false
+  isUnanswered = false
   readonly #store: StandInStore
 
   constructor (store: StandInStore) {
@@ -32,25 +32,25 @@
   }
 
   async snapshot (prefix: string) {
-    if (this.shut) throw new StoreError('Cannot list: cut off', { failure: 'unsure' })
+    if (this.isCutOff) throw new StoreError('Cannot list: cut off', { failure: 'unsure' })
     return await this.#store.snapshot(prefix)
   }
 
   async changes (prefix: string, options: { after: number, waitMs: number }) {
-    if (this.shut) throw new StoreError('Cannot watch: cut off', { failure: 'unsure' })
+    if (this.isCutOff) throw new StoreError('Cannot watch: cut off', { failure: 'unsure' })
     const givenUpAtMs = steadyNow() + options.waitMs + WATCH_GRACE_MS
     const found = await this.#store.changes(prefix, options)
-    if (this.shut) throw new StoreError('Cannot watch: cut off', { failure: 'unsure' })
-    if (!this.silent) return found
-    // What came was never read: the call hangs until it is given up.
+    if (this.isCutOff) throw new StoreError('Cannot watch: cut off', { failure: 'unsure' })
+    if (!this.isUnanswered) return found
+    // The answer is never read: the call hangs until it times out.
     await delay(givenUpAtMs - steadyNow())
     throw new StoreError('Cannot watch: no answer', { failure: 'unsure' })
   }
 }
 
-interface Node { member: Member, own: OwnStore, keys: ReadonlySet<string>, follower: StoreFollower }
+interface Node { member: Member, access: StoreAccess, keys: ReadonlySet<string>, follower: StoreFollower }
 
-/** Daemons that follow one prefix. */
+/** A fleet of daemons that follow one prefix. */
 class Fleet {
   readonly store = new StandInStore()
   readonly network = new StandInNetwork()
@@ -63,10 +63,10 @@
     for (const member of members) {
       const links = this.network.join(member.id)
       await links.listen()
-      const own = new OwnStore(this.store)
-      const relay = new StoreRelay({ store: own, links, self: () => member, working: () => members.filter(({ state }) => state === 'up'), hash, metrics: createMetrics(), newsMs: NEWS_MS })
+      const access = new StoreAccess(this.store)
+      const relay = new StoreRelay({ store: access, links, self: () => member, working: () => members.filter(({ state }) => state === 'up'), hash, metrics: createMetrics(), newsMs: PROPAGATION_MS })
       const follower = new StoreFollower({ store: relay.source(PREFIX), prefix: PREFIX, random: () => 0.5, waitMs: relay.watchWaitMs, onChange: (objects) => { node.keys = new Set(objects.keys()) } })
-      const node: Node = { member, own, keys: new Set(), follower }
+      const node: Node = { member, access, keys: new Set(), follower }
       follower.start()
       this.nodes.push(node)
     }
@@ -81,8 +81,8 @@
     await this.store.create(PREFIX + name, '{}')
   }
 
-  /** Milliseconds until all the nodes know just these names. */
-  async timeTo (names: readonly string[], nodes = this.nodes): Promise<number> {
+  /** Milliseconds until all the nodes know exactly these names. */
+  async timeUntilKnown (names: readonly string[], nodes = this.nodes): Promise<number> {
     const startMs = steadyNow()
     const wanted = names.map((name) => PREFIX + name).sort().join()
     while (nodes.some(({ keys }) => [...keys].sort().join() !== wanted)) {
@@ -92,7 +92,7 @@
     return steadyNow() - startMs
   }
 
-  /** Whom a daemon asks, by the members alone. */
+  /** The daemons that a node asks, derived from the membership alone. */
   sourcesOf (node: Node): Member[] {
     return newsSources(node.member, this.nodes.map(({ member }) => member), { hash })
   }
@@ -119,56 +119,56 @@
   return fleet
 }
 
-test('a change is known everywhere within a tenth of a second, for two calls to the store', async () => {
-  // Guards against each daemon of a large fleet paying for a watch of its own.
+test('a change reaches every daemon within 100 ms at the cost of two store calls', async () => {
+  // Guards against every daemon of a large fleet keeping a paid watch on the store.
   const { store } = await started(60, 5)
   const before = store.calls.watches
   await fleet.write('b')
-  expect(await fleet.timeTo(['a', 'b'])).toBeLessThanOrEqual(100)
+  expect(await fleet.timeUntilKnown(['a', 'b'])).toBeLessThanOrEqual(100)
   expect(store.calls.watches - before).toBeLessThanOrEqual(2)
   const quiet = store.calls.watches + store.calls.reads
   await vi.advanceTimersByTimeAsync(20_000)
   expect((store.calls.watches + store.calls.reads - quiet) / 20).toBeLessThanOrEqual(3)
 })
 
-test('when the daemons that watch lose the store, the others hear of a departure from the store itself', async () => {
-  // Both watchers are turned away by the store, which serves the rest: without another way new work goes to an endpoint that left, for as long as that lasts.
+test('when the watchers lose the store, the others learn of a departure from the store itself', async () => {
+  // Guards against new work for an endpoint that left, sent for as long as the store rejects both watchers while it serves the rest.
   const { store } = await started(40, 4)
   await fleet.write('b')
-  await fleet.timeTo(['a', 'b'])
-  for (const { own } of fleet.watchers) own.shut = true
+  await fleet.timeUntilKnown(['a', 'b'])
+  for (const { access } of fleet.watchers) access.isCutOff = true
   store.expire([`${PREFIX}a`])
-  const reaching = fleet.nodes.filter(({ own }) => !own.shut)
-  expect(await fleet.timeTo(['b'], reaching)).toBeLessThanOrEqual(NEWS_MS)
+  const connected = fleet.nodes.filter(({ access }) => !access.isCutOff)
+  expect(await fleet.timeUntilKnown(['b'], connected)).toBeLessThanOrEqual(PROPAGATION_MS)
 })
 
-test('when the store gives the daemons that watch no answer, the others hear of a departure in time', async () => {
-  // The paths between the store and both watchers carry nothing any more, without a reset: their watches hang, and those that ask them would wait with them.
+test('when the store does not answer the watchers, the others learn of a departure in time', async () => {
+  // Guards against daemons waiting along with both watchers: their connections to the store are dead without a reset, and their watches hang.
   const { store, watchers, nodes } = await started(12, 3)
-  for (const { own } of watchers) own.silent = true
+  for (const { access } of watchers) access.isUnanswered = true
   store.expire([`${PREFIX}a`])
-  expect(await fleet.timeTo([], nodes.filter((node) => !watchers.includes(node)))).toBeLessThanOrEqual(NEWS_MS)
+  expect(await fleet.timeUntilKnown([], nodes.filter((node) => !watchers.includes(node)))).toBeLessThanOrEqual(PROPAGATION_MS)
 })
 
-test('when a daemon that is asked stands still, those that ask it hear of a departure in time', async () => {
-  // A relay's host is suspended: its links stay open and carry nothing. Whoever waits for its word would give new work to an endpoint that left.
-  const { store, network, nodes, asked } = await started(40, 4)
-  const suspended = asked.filter((_, i) => i % 2 === 0)
+test('when relays are suspended, the daemons that ask them learn of a departure in time', async () => {
+  // Guards against new work for an endpoint that left: the host of a relay is suspended, and its links stay open but carry nothing.
+  const { store, network, nodes, asked: relays } = await started(40, 4)
+  const suspended = relays.filter((_, i) => i % 2 === 0)
   expect(suspended.length).toBeGreaterThan(2)
-  for (const { member, own } of suspended) {
+  for (const { member, access } of suspended) {
     for (const other of nodes) network.part(member.id, other.member.id, true)
-    own.silent = true
+    access.isUnanswered = true
   }
   store.expire([`${PREFIX}a`])
-  expect(await fleet.timeTo([], nodes.filter((node) => !suspended.includes(node)))).toBeLessThanOrEqual(NEWS_MS)
+  expect(await fleet.timeUntilKnown([], nodes.filter((node) => !suspended.includes(node)))).toBeLessThanOrEqual(PROPAGATION_MS)
 })
 
-test('a daemon that reaches no other follows the store itself, and goes back to asking afterwards', async () => {
+test('a daemon that reaches no other follows the store itself and returns to asking relays afterwards', async () => {
   const { store, network, nodes } = await started(12, 3)
   const [first] = nodes
   for (const { member } of nodes.slice(1)) network.part(first!.member.id, member.id, true)
   store.expire([`${PREFIX}a`])
-  expect(await fleet.timeTo([], [first!])).toBeLessThanOrEqual(NEWS_MS)
+  expect(await fleet.timeUntilKnown([], [first!])).toBeLessThanOrEqual(PROPAGATION_MS)
   network.heal()
   await vi.advanceTimersByTimeAsync(10_000)
   const quiet = store.calls.watches
@@ -176,8 +176,8 @@
   expect((store.calls.watches - quiet) / 10).toBeLessThanOrEqual(2.2)
 })
 
-test('an outage of the store is an outage to every daemon, however it follows', async () => {
-  // Entries that lapse in an outage are held back, and those of endpoints that left are not: each daemon must see for itself that the store was away.
+test('every daemon detects a store outage, whether it watches the store or asks others', async () => {
+  // Entries that lapse during an outage are held back, those of endpoints that left are not: each daemon must detect the outage itself.
   const { store, nodes } = await started(40, 4)
   store.faults.down = true
   store.cutWatches()
@@ -187,41 +187,41 @@
   await vi.advanceTimersByTimeAsync(2000)
   expect(nodes.filter(({ follower }) => !follower.reached)).toEqual([])
   await fleet.write('b')
-  expect(await fleet.timeTo(['a', 'b'])).toBeLessThanOrEqual(100)
+  expect(await fleet.timeUntilKnown(['a', 'b'])).toBeLessThanOrEqual(100)
 })
 
-/** What goes wrong with one daemon, until the next turn that is its own. */
-type Trouble = 'none' | 'cut-off' | 'unanswered' | 'alone'
-interface Turn { daemon: number, trouble: Trouble, afterMs: number, departs: boolean }
+/** The fault of one daemon, in effect until the next step for the same daemon. */
+type Fault = 'none' | 'cut-off' | 'unanswered' | 'alone'
+interface Step { daemon: number, fault: Fault, afterMs: number, departs: boolean }
 
-function trouble (fleet: Fleet, node: Node, kind: Trouble): void {
-  node.own.shut = kind === 'cut-off'
-  node.own.silent = kind === 'unanswered'
+function setFault (fleet: Fleet, node: Node, kind: Fault): void {
+  node.access.isCutOff = kind === 'cut-off'
+  node.access.isUnanswered = kind === 'unanswered'
   for (const other of fleet.nodes) if (other !== node) fleet.network.part(node.member.id, other.member.id, kind === 'alone')
 }
 
-test('random schedules: whoever reaches the store hears of each departure in time, whatever happens to the others', async () => {
-  // The relay's promise in one: daemons lose the store, get no answer from it or lose all others, some of them watchers and relays, and one that reached the
-  // store all the while must not give work to an endpoint that left more than the allowed time ago.
-  const turn = fc.record({
+test('random schedules: a daemon that reaches the store learns of each departure in time, whatever happens to the others', async () => {
+  // Daemons, watchers and relays among them, lose the store, get no answers from it or lose all other daemons. One that can reach the store throughout must
+  // not send work to an endpoint that left longer ago than the limit.
+  const step = fc.record({
     daemon: fc.nat(13),
-    trouble: fc.constantFrom<Trouble>('none', 'cut-off', 'unanswered', 'alone'),
+    fault: fc.constantFrom<Fault>('none', 'cut-off', 'unanswered', 'alone'),
     afterMs: fc.integer({ min: 0, max: 3000 }),
     departs: fc.boolean()
   })
-  await fc.assert(fc.asyncProperty(fc.array(turn, { minLength: 4, maxLength: 14 }), async (turns: Turn[]) => {
-    const names = turns.map((_, i) => `endpoint-${i}`)
+  await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 4, maxLength: 14 }), async (steps: Step[]) => {
+    const names = steps.map((_, i) => `endpoint-${i}`)
     fleet = new Fleet()
     for (const name of names) await fleet.write(name)
     await fleet.start(14, 3)
-    for (const [i, { daemon, trouble: kind, afterMs, departs }] of turns.entries()) {
-      trouble(fleet, fleet.nodes[daemon]!, kind)
+    for (const [i, { daemon, fault: kind, afterMs, departs }] of steps.entries()) {
+      setFault(fleet, fleet.nodes[daemon]!, kind)
       await vi.advanceTimersByTimeAsync(afterMs)
       if (!departs) continue
       fleet.store.expire([PREFIX + names[i]])
-      await vi.advanceTimersByTimeAsync(NEWS_MS)
-      const deaf = fleet.nodes.filter(({ own, keys }) => !own.shut && !own.silent && keys.has(PREFIX + names[i]))
-      expect(deaf.map(({ member }) => member.id)).toEqual([])
+      await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
+      const uninformed = fleet.nodes.filter(({ access, keys }) => !access.isCutOff && !access.isUnanswered && keys.has(PREFIX + names[i]))
+      expect(uninformed.map(({ member }) => member.id)).toEqual([])
     }
     fleet.stop()
   }), { numRuns: 60, seed: 11 })
--- a/daemon/peers/tally_task.ts
+++ b/daemon/peers/tally_task.ts
@@ -1,4 +1,4 @@
-/** Tells a few daemons of this one's totals, so that what it counted outlives it. */
+/** Replicates this daemon's running totals to a few other daemons, so that its counts survive a crash. */
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
 import { Tally, type TallyEntry, type TallySheet } from '../../core/tally/index.ts'
@@ -11,128 +11,129 @@
   membership: MembershipTask
 }
 
-/** What a daemon tells a bookkeeper. */
-interface Told { entries: TallyEntry[], wallMs: number }
-/** What bookkeepers tell each other when a link comes up, of daemons that may be dead by then. */
-interface Shared { sheets: TallySheet[] }
-interface Heard { wallMs: number }
-
-/** Daemons that keep everybody's totals: as many may die within one interval, but for one, and nothing is lost. */
-const BOOKKEEPERS = 3
-/** Between two tellings of a small fleet, in milliseconds. */
-const TELL_MS = 800
-/** Tellings grow rarer with the fleet, so that a bookkeeper hears at most 200 a second. */
-const TELL_MS_PER_DAEMON = 5
-/** The same while something waits for it that {@linkcode TallyTask.tellSoon} was called for. */
-const SOON_MS = 150
-const SOON_MS_PER_DAEMON = 2.5
-/** Tellings without a word back before the link is given up: an open connection may have gone silent for good. */
-const SILENT_AFTER = 6
-const TOLD = 'tally-told'
-const SHARED = 'tally-shared'
-const HEARD = 'tally-heard'
-const JOB = 'duties'
-
-/** Owns the totals and their spreading. */
+/** Totals of one daemon, sent to a replica. */
+interface TallyReport { entries: TallyEntry[], wallMs: number }
+/** Totals of all daemons, sent by a replica over each new link; some of the daemons may be dead by then. */
+interface TallySync { sheets: TallySheet[] }
+/** Acknowledges a report. */
+interface ReportAck { wallMs: number }
+
+/** Daemons that hold the totals of all daemons. Nothing is lost while at least one of them survives a report interval. */
+const REPLICA_COUNT = 3
+/** Interval between reports in a small fleet, in milliseconds. */
+const REPORT_INTERVAL_MS = 800
+/** The interval grows with the fleet, so that a replica receives at most 200 reports per second. */
+const REPORT_INTERVAL_MS_PER_DAEMON = 5
+/** Like {@linkcode REPORT_INTERVAL_MS}, for a report requested by {@linkcode TallyTask.reportSoon}. */
+const PROMPT_REPORT_INTERVAL_MS = 150
+const PROMPT_REPORT_INTERVAL_MS_PER_DAEMON = 2.5
+/** Unacknowledged reports after which the link is reset: an open connection may be dead. */
+const MAX_UNACKED_REPORTS = 6
+const REPORT_TOPIC = 'tally-told'
+const SYNC_TOPIC = 'tally-shared'
+const ACK_TOPIC = 'tally-heard'
+const REPLICA_JOB = 'duties'
+
+/** Owns the totals and replicates them. */
 export class TallyTask {
   readonly tally: Tally
-  /** The time of day that the daemons agree on. */
+  /** Wall clock shared by the daemons. */
   readonly clock = new SharedClock({ wallMs: Date.now(), steadyMs: steadyNow() })
   readonly #options: TallyTaskOptions
-  /** Tellings since the last word of a bookkeeper; one that is missing is told everything first. */
-  readonly #unheard = new Map<DaemonId, number>()
+  /** Reports since the last acknowledgment of each replica; a replica without an entry gets all totals first. */
+  readonly #unackedReports = new Map<DaemonId, number>()
   #timer: NodeJS.Timeout | undefined
-  #toldAtMs = -Infinity
-  #soon = false
+  #lastReportAtMs = -Infinity
+  #promptReportScheduled = false
 
   constructor (options: TallyTaskOptions) {
     this.#options = options
     this.tally = new Tally(options.self)
     const { links } = options.membership
-    links.onPost(TOLD, ({ entries, wallMs }: Told, from) => {
+    links.onPost(REPORT_TOPIC, ({ entries, wallMs }: TallyReport, from) => {
       this.tally.receive({ daemon: from, entries })
       this.clock.told(from, wallMs, steadyNow())
-      links.post(from, HEARD, { wallMs: this.#wallMs() } satisfies Heard)
+      links.post(from, ACK_TOPIC, { wallMs: this.#wallMs() } satisfies ReportAck)
     })
-    links.onPost(SHARED, ({ sheets }: Shared) => sheets.forEach((sheet) => this.tally.receive(sheet)))
-    links.onPost(HEARD, ({ wallMs }: Heard, from) => {
+    links.onPost(SYNC_TOPIC, ({ sheets }: TallySync) => sheets.forEach((sheet) => this.tally.receive(sheet)))
+    links.onPost(ACK_TOPIC, ({ wallMs }: ReportAck, from) => {
       this.clock.told(from, wallMs, steadyNow())
-      if (this.#unheard.has(from)) this.#unheard.set(from, 0)
+      if (this.#unackedReports.has(from)) this.#unackedReports.set(from, 0)
     })
-    options.membership.onLink((to) => this.#linked(to))
+    options.membership.onLink((to) => this.#onLink(to))
   }
 
-  /** True when this daemon keeps everybody's totals, and may take the leases that need them. */
+  /** True when this daemon holds the totals of all daemons and may take the leases that need them. */
   get keepsBooks (): boolean {
     return this.bookkeepers.some(({ id }) => id === this.#options.self)
   }
 
-  /** Begins to tell. */
+  /** Starts reporting. */
   start (): void {
-    this.#tellLater()
+    this.#scheduleReport()
   }
 
-  /** Stops, after a last word of what was not told yet. */
+  /** Stops, after a last report of the pending changes. */
   stop (): void {
     clearTimeout(this.#timer)
     this.#timer = undefined
-    this.#tell()
+    this.#report()
   }
 
-  /** Tells sooner than usual, once. */
+  /** Brings the next report forward. */
   tellSoon (): void {
-    if (this.#soon || this.#timer === undefined) return
-    this.#soon = true
-    const everyMs = Math.max(SOON_MS, this.#options.membership.answering.length * SOON_MS_PER_DAEMON)
-    this.#tellAfter(Math.max(0, this.#toldAtMs + everyMs - steadyNow()))
+    if (this.#promptReportScheduled || this.#timer === undefined) return
+    this.#promptReportScheduled = true
+    const everyMs = Math.max(PROMPT_REPORT_INTERVAL_MS, this.#options.membership.reachable.length * PROMPT_REPORT_INTERVAL_MS_PER_DAEMON)
+    this.#reportAfter(Math.max(0, this.#lastReportAtMs + everyMs - steadyNow()))
   }
 
-  #tellLater (): void {
-    this.#tellAfter(Math.max(TELL_MS, this.#options.membership.answering.length * TELL_MS_PER_DAEMON))
+  #scheduleReport (): void {
+    this.#reportAfter(Math.max(REPORT_INTERVAL_MS, this.#options.membership.reachable.length * REPORT_INTERVAL_MS_PER_DAEMON))
   }
 
-  #tellAfter (ms: number): void {
+  #reportAfter (ms: number): void {
     clearTimeout(this.#timer)
     this.#timer = setTimeout(() => {
-      this.#soon = false
-      this.#toldAtMs = steadyNow()
-      this.#tell()
-      this.#tellLater()
+      this.#promptReportScheduled = false
+      this.#lastReportAtMs = steadyNow()
+      this.#report()
+      this.#scheduleReport()
     }, ms)
   }
 
-  #tell (): void {
+  #report (): void {
     const entries = this.tally.takeChanges()
-    const bookkeepers = this.bookkeepers.filter(({ id }) => id !== this.#options.self)
-    for (const id of this.#unheard.keys()) if (!bookkeepers.some((member) => member.id === id)) this.#unheard.delete(id)
-    for (const bookkeeper of bookkeepers) this.#tellOne(bookkeeper, entries)
+    const replicas = this.bookkeepers.filter(({ id }) => id !== this.#options.self)
+    for (const id of this.#unackedReports.keys()) if (!replicas.some((member) => member.id === id)) this.#unackedReports.delete(id)
+    for (const replica of replicas) this.#reportTo(replica, entries)
   }
 
-  #tellOne (to: Member, changes: TallyEntry[]): void {
+  #reportTo (to: Member, changes: TallyEntry[]): void {
     const { links } = this.#options.membership
-    const unheard = this.#unheard.get(to.id)
-    const entries = unheard === undefined ? this.tally.sheetOf(this.#options.self) : changes
-    if (!links.post(to.id, TOLD, { entries, wallMs: this.#wallMs() } satisfies Told)) {
-      this.#unheard.delete(to.id)
+    const unacked = this.#unackedReports.get(to.id)
+    const entries = unacked === undefined ? this.tally.sheetOf(this.#options.self) : changes
+    if (!links.post(to.id, REPORT_TOPIC, { entries, wallMs: this.#wallMs() } satisfies TallyReport)) {
+      this.#unackedReports.delete(to.id)
       links.connect(to)
       return
     }
-    this.#unheard.set(to.id, (unheard ?? 0) + 1)
-    if ((unheard ?? 0) < SILENT_AFTER) return
-    this.#unheard.delete(to.id)
+    this.#unackedReports.set(to.id, (unacked ?? 0) + 1)
+    if ((unacked ?? 0) < MAX_UNACKED_REPORTS) return
+    this.#unackedReports.delete(to.id)
     this.clock.forget(to.id)
     links.reset(to.id)
   }
 
-  /** What was sent on a link before this one may be lost. */
-  #linked (to: DaemonId): void {
-    this.#unheard.delete(to)
-    if (this.keepsBooks) this.#options.membership.links.post(to, SHARED, { sheets: this.tally.sheets() } satisfies Shared)
+  /** Resends all totals over a new link: messages on the previous one may be lost. */
+  #onLink (to: DaemonId): void {
+    this.#unackedReports.delete(to)
+    if (this.keepsBooks) this.#options.membership.links.post(to, SYNC_TOPIC, { sheets: this.tally.sheets() } satisfies TallySync)
   }
 
-  /** The few daemons that keep everybody's totals, the first choice for work that needs them first. */
+  /** The daemons that hold the totals of all daemons, in order of preference for work that needs them. */
   get bookkeepers (): Member[] {
-    return this.#options.membership.rankedFor(JOB).slice(0, BOOKKEEPERS)
+    return this.#options.membership.rankedFor(REPLICA_JOB).slice(0, REPLICA_COUNT)
   }
 
   #wallMs (): number {
