--- a/daemon/duties/order_task.ts
+++ b/daemon/duties/order_task.ts
@@ -272,9 +272,9 @@
       if (err.failure === 'refused') given.noneToBeHad = true
       this.#options.metrics.orders.inc({ result: err.failure })
       log('order-refused', { ...order, fencing, failure: err.failure, why: err.message })
-      if (outage && err.failure === 'refused') lease.giveUpOutage()
+      if (outage && err.failure === 'refused') lease.endOutageGrace()
       // It may be carried out yet, after newer orders: a higher fencing number makes the platform refuse it.
-      if (err.failure === 'unsure') lease.raise()
+      if (err.failure === 'unsure') lease.raiseFencing()
     }
   }
 
--- a/daemon/duties/order_task_test.ts
+++ b/daemon/duties/order_task_test.ts
@@ -28,7 +28,7 @@
   readonly table = new EndpointTable({ self: SELF, hash: (text) => text.length })
   readonly tally = new Tally(SELF)
   readonly orders: EndpointOrder[] = []
-  readonly lease = { fencing: 1 as number | undefined, fencingInOutage: undefined as number | undefined, raise: () => {}, giveUpOutage: () => { this.lease.fencingInOutage = undefined } }
+  readonly lease = { fencing: 1 as number | undefined, fencingInOutage: undefined as number | undefined, raiseFencing: () => {}, endOutageGrace: () => { this.lease.fencingInOutage = undefined } }
   /** Failure domains that have no reclaimable endpoints to give. */
   readonly dry = new Set<FailureDomain>()
   /** What all accounts may ask for, in tokens a second. */
@@ -291,7 +291,7 @@
   expect(fleet.serving(false)).toBeGreaterThanOrEqual(3)
   expect(fleet.serving(true)).toBe(2)
   const before = fleet.orders.length
-  fleet.lease.giveUpOutage()
+  fleet.lease.endOutageGrace()
   fleet.reclaim(DOMAINS[2]!)
   await fleet.pass(3000, 2.4)
   expect(fleet.orders.slice(before)).toEqual([])
--- a/daemon/fleet/fleet_loop.ts
+++ b/daemon/fleet/fleet_loop.ts
@@ -1,4 +1,4 @@
-/** Runs the fleet task of each pool of model engines on whichever daemon holds its lease. */
+/** Runs the fleet task of each model pool on the daemon that holds the pool's lease. */
 import type { Config } from '../../core/config/index.ts'
 import { as, type DaemonId, type HostId, type PoolName } from '../../core/ids/index.ts'
 import type { EndpointView, Hash32 } from '../../core/routing/index.ts'
@@ -25,59 +25,59 @@
   announceLeaving (host: HostId, goneAtMs: number): void
 }
 
-interface PoolWork { lease: LeaseTask, task: FleetTask }
+interface ManagedPool { lease: LeaseTask, task: FleetTask }
 
-const ROUND_MS = 10_000
-/** Daemons that contend for one lease: each of them reads it every few seconds. */
-const CONTENDERS = 3
+const RECONCILE_INTERVAL_MS = 10_000
+/** Maximum number of daemons that contend for one lease: each of them reads it every few seconds. */
+const MAX_CONTENDERS = 3
 
-/** Owns the leases and fleet tasks of this daemon. */
+/** Manages the pool leases and fleet tasks of this daemon. */
 export class FleetLoop {
   readonly #options: FleetLoopOptions
-  readonly #pools = new Map<PoolName, PoolWork>()
+  readonly #pools = new Map<PoolName, ManagedPool>()
   #timer: NodeJS.Timeout | undefined
 
   constructor (options: FleetLoopOptions) {
     this.#options = options
     options.table.onLeaving((leaving) => {
-      const waves = new Set(leaving.filter(({ signal }) => signal === 'notice').map(({ view }) => view.failureDomain))
-      for (const { task } of this.#pools.values()) for (const domain of waves) task.reclaimed(domain)
+      const reclaimedDomains = new Set(leaving.filter(({ signal }) => signal === 'notice').map(({ view }) => view.failureDomain))
+      for (const { task } of this.#pools.values()) for (const domain of reclaimedDomains) task.recordReclaim(domain)
     })
   }
 
-  /** Begins the rounds. */
+  /** Starts periodic reconciliation. */
   start (): void {
-    this.#timer = setInterval(() => this.#round(), ROUND_MS)
+    this.#timer = setInterval(() => this.#reconcileAll(), RECONCILE_INTERVAL_MS)
   }
 
-  /** Ends them; leases run out by themselves. */
+  /** Stops reconciliation; held leases expire. */
   stop (): void {
     clearInterval(this.#timer)
     for (const { lease } of this.#pools.values()) lease.stop()
   }
 
-  #round (): void {
+  #reconcileAll (): void {
     for (const pool of this.#options.config.inForce?.config.pools ?? []) {
-      if (pool.kind === 'model' && this.#contends(pool.name)) this.#workOn(as(pool.name)).task.reconcile()
+      if (pool.kind === 'model' && this.#contends(pool.name)) this.#managedPool(as(pool.name)).task.reconcile()
     }
   }
 
   #contends (pool: string): boolean {
     const { self, hash, membership } = this.#options
     const rank = (id: DaemonId) => hash(`fleet/${pool}/${id}`)
-    return membership.working.filter(({ id }) => rank(id) > rank(self)).length < CONTENDERS
+    return membership.working.filter(({ id }) => rank(id) > rank(self)).length < MAX_CONTENDERS
   }
 
-  #workOn (pool: PoolName): PoolWork {
-    let work = this.#pools.get(pool)
-    if (!work) {
+  #managedPool (pool: PoolName): ManagedPool {
+    let managed = this.#pools.get(pool)
+    if (!managed) {
       const { self, store, cloud, audit, engine, announceLeaving } = this.#options
       const lease = new LeaseTask({ self, store, name: `fleet-${pool}` })
       lease.start()
       const config = (): Config | undefined => this.#options.config.inForce?.config
-      work = { lease, task: new FleetTask({ self, pool, cloud, audit, config, engine, announceLeaving, holds: () => lease.fencing !== undefined }) }
-      this.#pools.set(pool, work)
+      managed = { lease, task: new FleetTask({ self, pool, cloud, audit, config, engine, announceLeaving, holdsLease: () => lease.fencing !== undefined }) }
+      this.#pools.set(pool, managed)
     }
-    return work
+    return managed
   }
 }
--- a/daemon/fleet/fleet_task_test.ts
+++ b/daemon/fleet/fleet_task_test.ts
@@ -24,23 +24,23 @@
     audit: { write: async (record) => { records.push(record) } },
     config: sessionConfig,
     engine: ({ address }) => cloud.at(address) as StandInEngine,
-    holds: () => state.holds,
+    holdsLease: () => state.holds,
     announceLeaving: (host) => { leaving.push(host) }
   })
   return { cloud, task, records, leaving, state }
 }
 
-/** Keeps streams running on the fleet: two hosts' worth each 8. */
-function load (cloud: StandInCloud, streams: number): void {
+/** Starts streams, spread evenly over the hosts; each host runs 8 at a time. */
+function startStreams (cloud: StandInCloud, streams: number): void {
   const engines = cloud.live().map((host) => cloud.endpoint(host.hostId) as StandInEngine)
   for (let i = 0; i < streams; i++) {
     engines[i % engines.length]!.start({ streamId: `s${i}`, prompt: 'x', done: [], maxTokens: 100_000, priority: 1, keepMs: 0 }, { onChunk () {}, onEnd () {}, onError () {}, onLoad () {} })
   }
 }
 
-test('a fleet too small for its latency target grows, spread over domains', async () => {
+test('a fleet too small for its latency target grows, spread over failure domains', async () => {
   const { cloud, task } = await fleet(3)
-  load(cloud, 40)
+  startStreams(cloud, 40)
   const round = await task.reconcile()
   expect(round.needed).toBeCloseTo(40 * 1.25 / 8)
   expect(round.started).toBe(4)
@@ -49,18 +49,18 @@
   expect(new Set(cloud.live().map((host) => host.failureDomain)).size).toBe(3)
 })
 
-test('starts that are refused go to another domain, and on-demand last', async () => {
+test('refused starts move to another failure domain and finally to on-demand hosts', async () => {
   const { cloud, task, records } = await fleet(3)
-  load(cloud, 40)
+  startStreams(cloud, 40)
   for (const domain of 'abc') cloud.faults.refuseIn.add(as<FailureDomain>(domain))
   for (let i = 0; i < 5; i++) await task.reconcile()
   expect(cloud.live().filter((host) => !host.reclaimable).length).toBeGreaterThanOrEqual(4)
   expect(records.map(({ what }) => (what as { action: string }).action)).toContain('refused')
 })
 
-test('a fleet too large shrinks after ten minutes, drains first, and keeps what is needed', async () => {
+test('an oversized fleet shrinks after ten minutes, drains hosts first and keeps those it needs', async () => {
   const { cloud, task, leaving } = await fleet(9)
-  load(cloud, 56)
+  startStreams(cloud, 56)
   expect(await task.reconcile()).toMatchObject({ needed: 8.75, started: 0, draining: 0 })
   for (const host of cloud.live()) for (let i = 0; i < 40; i++) await (cloud.endpoint(host.hostId) as StandInEngine).cancel(`s${i}`, 0)
   expect(await task.reconcile()).toMatchObject({ needed: 8.75, draining: 0 })
@@ -73,11 +73,11 @@
   expect(cloud.live()).toHaveLength(3)
 })
 
-test('hosts that boot are not bought again while the list does not show them', async () => {
-  // The firm pays for dozens of hosts it does not need: a host is listed only minutes after its order, and each round until then finds it
-  // missing and orders another.
+test('booting hosts that are not listed yet are not ordered again', async () => {
+  // Guards against paying for dozens of unneeded hosts: a host is listed only minutes after its start, and each round until then finds it
+  // missing and starts another.
   const { cloud, task } = await fleet(3)
-  load(cloud, 40)
+  startStreams(cloud, 40)
   await vi.advanceTimersByTimeAsync(61_000)
   cloud.faults.listLagMs = 60_000
   const rounds = []
@@ -85,23 +85,23 @@
     rounds.push(await task.reconcile())
     await vi.advanceTimersByTimeAsync(5000)
   }
-  // 40 streams need 6.25 hosts, so seven; three are there.
+  // 40 streams need 6.25 hosts, that is seven; three exist.
   expect(rounds.reduce((sum, round) => sum + round.started, 0)).toBe(4)
   expect(rounds.every((round) => round.draining === 0)).toBe(true)
 })
 
-test('without the lease nothing is bought', async () => {
-  // Two daemons each buy the hosts that the wave took, and the firm pays twice until somebody looks at the bill.
+test('no host is started without the lease', async () => {
+  // Guards against two daemons that each replace the same reclaimed hosts, which are then paid for twice.
   const { cloud, task, state, records } = await fleet(3)
-  load(cloud, 40)
+  startStreams(cloud, 40)
   state.holds = false
   await task.reconcile()
   expect(cloud.live()).toHaveLength(3)
   expect(records).toHaveLength(0)
 })
 
-test('three daemons that manage the fleet buy what a wave took once, not three times', async () => {
-  // The same with real leases: all three contend, a domain is reclaimed, and its replacements must be bought by one of them.
+test('three daemons that manage the fleet replace reclaimed hosts once, not three times', async () => {
+  // The same with real leases: all three contend, a failure domain is reclaimed, and only one of them may start the replacements.
   vi.useRealTimers()
   const session = await Session.start(6, { manageFleet: true })
   try {
--- a/daemon/fleet/lease_task.ts
+++ b/daemon/fleet/lease_task.ts
@@ -1,4 +1,4 @@
-/** Takes and renews one lease through the store. */
+/** Acquires and renews a lease stored in the object store. */
 import { randomUUID } from 'node:crypto'
 import type { DaemonId } from '../../core/ids/index.ts'
 import { fencingNow, nextLeaseAction, NO_LEASE, released, seen, sending, type LeaseRecord, type LeaseState } from '../../core/lease/index.ts'
@@ -6,136 +6,138 @@
 import { StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
 import { log } from '../log/index.ts'
 
-/** What the holder tells the others that contend, each time that it has written. */
+/** Sent by the holder to the other contenders after each write of the lease. */
 export interface LeaseAnnouncement { name: string, record: LeaseRecord, version: number }
 
-/** How the daemons that contend for a lease hear of each other. */
+/** Channel between the daemons that contend for a lease. */
 export interface LeasePeers {
-  /** Tells the others. */
+  /** Sends an announcement to the other contenders. */
   announce (announcement: LeaseAnnouncement): void
-  /** Registers who hears the others' words. */
-  onAnnouncement (listener: (word: LeaseAnnouncement) => void): void
+  /** Registers a listener for the announcements of other contenders. */
+  onAnnouncement (listener: (announcement: LeaseAnnouncement) => void): void
 }
 
 /** Options of {@linkcode LeaseTask}. */
 export interface LeaseTaskOptions {
   self: DaemonId
   store: ObjectStore
-  /** Name of the work that the lease is for. */
+  /** Name of the lease. */
   name: string
-  /** Milliseconds that the holder may work after a renewal. Default 15,000. */
+  /** How long the holder may act after a renewal, in milliseconds. Default 15,000. */
   ttlMs?: number
-  /** Longest time between two looks at another daemon's lease, in milliseconds. Default 5,000. */
+  /** Maximum interval between reads of a lease held by another daemon, in milliseconds. Default 5,000. */
   lookEveryMs?: number
-  /** False for a daemon that leaves the lease to others unless it holds it: each that contends reads it. Default: always true. */
+  /** Whether this daemon contends for the lease; every contender reads it periodically. Default: always true. */
   contends? (): boolean
-  /** Spares those that wait for the lease most of their looks at it. Default: each looks for itself. */
+  /** Channel for announcements, which save waiting contenders most reads of the lease. Default: none. */
   peers?: LeasePeers
-  /** Time before a call that failed is tried again, in milliseconds. Default 1,000. */
+  /** Delay after a failed store call, in milliseconds. Default 1,000. */
   retryMs?: number
-  /** Whoever takes orders refuses those with a lower fencing number than it has seen. Default false. */
+  /** Whether the receiver of orders rejects fencing numbers lower than the highest it has seen. Default false. */
   fenced?: boolean
-  /** A daemon that was followed by another holder does not act again within this time of its last act, in milliseconds. Default 0. */
+  /** How long after its last action a daemon that regains the lease from another holder must wait before it acts again, in milliseconds. Default 0. */
   apartMs?: number
 }
 
 const DEFAULT_TTL_MS = 15_000
-const DEFAULT_LOOK_MS = 5000
+const DEFAULT_POLL_INTERVAL_MS = 5000
 const DEFAULT_RETRY_MS = 1000
-/** The time of day and the steady clock part by less than this in a few seconds, in milliseconds; more means that the host was suspended. */
-const LARGEST_DRIFT_MS = 300
+/** Largest plausible divergence of the wall clock and the steady clock within a few seconds, in milliseconds; more means that the host was suspended. */
+const MAX_CLOCK_DIVERGENCE_MS = 300
 /**
- * Part of the time to live for which the holder's word stands in place of a look: a renewal, and the word of it, is due after a third.
+ * Fraction of the time to live for which an announcement replaces a read; a renewal, and with it an announcement, is due after a third.
  *
- * Without it two daemons that wait for one lease look at it four times a second, a fifth of all calls that 19 daemons made to the store (80 of 433, counted in 20 s).
- * Words that fail to come lead to a look, so that a successor is as early as before.
+ * Without announcements two waiting contenders read the lease four times a second, a fifth of all store calls of 19 daemons (80 of 433 within 20 s). When
+ * announcements stop, contenders read the lease again, so that failover is not delayed.
  */
-const WORD_PART = 1 / 2
-/** How long a holder goes on that should be none any more, in milliseconds: what daemons know of each other changes for moments. */
-const STAND_BACK_MS = 2000
+const ANNOUNCEMENT_FRACTION = 1 / 2
+/** How long a holder that should no longer contend keeps the lease, in milliseconds: the membership view may change briefly. */
+const STEP_DOWN_DELAY_MS = 2000
 
 /**
- * How long the last holder goes on while the store does not answer it, in milliseconds.
+ * How long the last holder may continue after its lease expired because the store is unavailable, in milliseconds.
  *
- * Nobody can take the lease over in the store's outage, so that without the last holder nothing is ordered for as long as it lasts, and a wave of
- * reclaims in that time leaves no endpoint. Where only this daemon is turned away, its successor's higher number makes its orders refused.
+ * No daemon can acquire the lease during a store outage. Without this grace period nothing is ordered until it ends, and a series of reclaims would
+ * leave no endpoint. If the store rejects only this daemon, the higher fencing number of its successor causes its orders to be rejected.
  */
-const OUTAGE_KEPT_MS = 20_000
+const OUTAGE_GRACE_MS = 20_000
 
-/** One lease. */
+/** Contends for one lease. */
 export class LeaseTask {
   readonly #options: LeaseTaskOptions
   readonly #key: string
   #state: LeaseState = NO_LEASE
-  #driftMs = 0
-  /** When this daemon could last act. */
-  #actedAtMs = -Infinity
-  /** No act before this time, after another held the lease. */
+  #clockOffsetMs = 0
+  /** When this daemon last held a valid fencing number. */
+  #lastActiveAtMs = -Infinity
+  /** Earliest time to act after the lease was regained from another holder. */
   #notBeforeMs = -Infinity
-  #raise = false
-  #fresh = false
-  #contendedAtMs = -Infinity
-  /** When the holder last told of a renewal. */
-  #toldAtMs = -Infinity
+  #raiseRequested = false
+  /** False until the lease was read since this daemon last started to contend. */
+  #hasCurrentRecord = false
+  #lastContendedAtMs = -Infinity
+  /** When the holder last announced a renewal. */
+  #lastAnnouncementAtMs = -Infinity
   #wake: () => void = () => {}
   #stopped = false
-  /** The store has not answered since. */
-  #unansweredSinceMs: number | undefined
-  /** Called when this daemon becomes the holder, with its fencing number, and when it is the holder no more. */
+  /** When store calls started to fail; undefined while they succeed. */
+  #storeFailingSinceMs: number | undefined
+  /** Called with the fencing number when this daemon becomes the holder or its number changes, and with undefined when it loses the lease. */
   onChange: (fencing: number | undefined) => void = () => {}
 
   constructor (options: LeaseTaskOptions) {
     this.#options = options
     this.#key = `lease/${options.name}`
-    options.peers?.onAnnouncement((word) => this.#told(word))
+    options.peers?.onAnnouncement((announcement) => this.#onAnnouncement(announcement))
   }
 
   /**
-   * The fencing number for an order given now; undefined while another daemon holds the lease.
+   * The fencing number for an order issued now; undefined unless this daemon may act as the holder.
    *
-   * A host that was suspended wakes with a steady clock that did not count the time: its lease looks fresh while a successor acts. The time of
-   * day did count, so a lease is not trusted once the two clocks have parted.
+   * The steady clock stops while a host is suspended, so after a resume an expired lease looks valid although a successor may be acting. The wall
+   * clock keeps running; the lease is not trusted once the two clocks have diverged.
    *
-   * A lease that is handed to and fro would have two daemons act by turns, each on what it saw before the other acted: whoever gets it back waits.
+   * If a lease moves back and forth, two daemons would act alternately, each on a view from before the other's actions. A daemon that regains the
+   * lease therefore waits first.
    */
   get fencing (): number | undefined {
     const now = steadyNow()
-    if (Math.abs(drift() - this.#driftMs) > LARGEST_DRIFT_MS || now < this.#notBeforeMs) return undefined
+    if (Math.abs(clockOffsetMs() - this.#clockOffsetMs) > MAX_CLOCK_DIVERGENCE_MS || now < this.#notBeforeMs) return undefined
     const fencing = fencingNow(this.#state, this.#options.self, now)
-    if (fencing !== undefined) this.#actedAtMs = now
+    if (fencing !== undefined) this.#lastActiveAtMs = now
     return fencing
   }
 
   /**
-   * The fencing number for an order that cannot wait until the store answers again; undefined when the lease was lost in any other way.
+   * The fencing number for urgent orders during a store outage; undefined when the lease was lost for any other reason.
    *
-   * Only for orders that are harmless when repeated, and refused where a successor gave others.
+   * Only for idempotent orders whose receiver rejects them once a successor has issued others.
    */
   get fencingInOutage (): number | undefined {
     const { record, seenAtMs } = this.#state
-    if (this.#options.fenced !== true || this.#unansweredSinceMs === undefined || this.#stopped || !record || !this.#holds) return undefined
-    if (Math.abs(drift() - this.#driftMs) > LARGEST_DRIFT_MS) return undefined
-    const heldTillMs = seenAtMs + record.ttlMs
-    return this.#unansweredSinceMs <= heldTillMs && steadyNow() < heldTillMs + OUTAGE_KEPT_MS ? record.fencing : undefined
+    if (this.#options.fenced !== true || this.#storeFailingSinceMs === undefined || this.#stopped || !record || !this.#isHolder) return undefined
+    if (Math.abs(clockOffsetMs() - this.#clockOffsetMs) > MAX_CLOCK_DIVERGENCE_MS) return undefined
+    const expiresAtMs = seenAtMs + record.ttlMs
+    return this.#storeFailingSinceMs <= expiresAtMs && steadyNow() < expiresAtMs + OUTAGE_GRACE_MS ? record.fencing : undefined
   }
 
-  /** A successor was seen to act: the outage is this daemon's alone. */
-  giveUpOutage (): void {
-    this.#unansweredSinceMs = undefined
+  /** Ends the grace period after a sign of a successor: the outage affects only this daemon. */
+  endOutageGrace (): void {
+    this.#storeFailingSinceMs = undefined
   }
 
-  /** Begins to take and renew the lease. */
+  /** Starts acquiring and renewing the lease. */
   start (): void {
-    this.#follow()
+    this.#run()
   }
 
-  /** Stops; the lease runs out by itself. */
+  /** Stops; a held lease expires. */
   stop (): void {
     this.#stopped = true
     this.#wake()
   }
 
-  /** Stops and gives the lease up, so that a successor need not wait until it runs out. */
+  /** Stops and releases the lease, so that a successor does not have to wait for its expiry. */
   async release (): Promise<void> {
     const { record, version } = this.#state
     const held = this.fencing !== undefined
@@ -149,112 +151,112 @@
     }
   }
 
-  /** Takes a higher fencing number, so that orders under way that were given with the present one are refused. */
-  raise (): void {
-    this.#raise = true
+  /** Requests a higher fencing number, so that orders in flight with the current one are rejected. */
+  raiseFencing (): void {
+    this.#raiseRequested = true
     this.#wake()
   }
 
-  async #follow (): Promise<void> {
+  async #run (): Promise<void> {
     while (!this.#stopped) {
       const { self } = this.#options
       if (!this.#contends()) {
-        await this.#standBack()
+        await this.#stepDown()
         continue
       }
-      // What was read before it contended, or never, is too old to act on.
-      if (!this.#fresh) await this.#orRetry(() => this.#read())
-      this.#fresh = true
+      // The lease was never read, or last read before this daemon stopped contending: too old to act on.
+      if (!this.#hasCurrentRecord) await this.#rereadOnFailure(() => this.#read())
+      this.#hasCurrentRecord = true
       const ttlMs = this.#options.ttlMs ?? DEFAULT_TTL_MS
-      const action = nextLeaseAction(this.#state, { self, now: steadyNow(), ttlMs, writeId: randomUUID(), raise: this.#raise })
-      if (action.type === 'write') await this.#orRetry(() => this.#write(action.record, action.version))
+      const action = nextLeaseAction(this.#state, { self, now: steadyNow(), ttlMs, writeId: randomUUID(), raise: this.#raiseRequested })
+      if (action.type === 'write') await this.#rereadOnFailure(() => this.#write(action.record, action.version))
       else await this.#waitAndRead(action.ms)
     }
   }
 
   #contends (): boolean {
     const contends = this.#options.contends?.() ?? true
-    if (contends) this.#contendedAtMs = steadyNow()
-    return contends || (this.#holds && steadyNow() - this.#contendedAtMs < STAND_BACK_MS)
+    if (contends) this.#lastContendedAtMs = steadyNow()
+    return contends || (this.#isHolder && steadyNow() - this.#lastContendedAtMs < STEP_DOWN_DELAY_MS)
   }
 
-  get #holds (): boolean {
+  get #isHolder (): boolean {
     return this.#state.record?.holder === this.#options.self
   }
 
-  /** A holder that should be none any more, because other daemons know more of the work, hands the lease on. */
-  async #standBack (): Promise<void> {
+  /** Releases a lease that this daemon should no longer hold, because other daemons now know more of the work. */
+  async #stepDown (): Promise<void> {
     const { record, version } = this.#state
-    if (this.fencing !== undefined && record) await this.#orRetry(() => this.#write(released(record, randomUUID()), version))
-    this.#fresh = false
-    await delay(this.#options.lookEveryMs ?? DEFAULT_LOOK_MS)
+    if (this.fencing !== undefined && record) await this.#rereadOnFailure(() => this.#write(released(record, randomUUID()), version))
+    this.#hasCurrentRecord = false
+    await delay(this.#options.lookEveryMs ?? DEFAULT_POLL_INTERVAL_MS)
   }
 
-  /** The holder knows its own record; the others look at it now and then, to see whether it stands still. */
+  /** Waits; contenders then read the record to see whether it was renewed. The holder already knows it. */
   async #waitAndRead (ms: number): Promise<void> {
     const woken = new Promise<void>((resolve) => { this.#wake = resolve })
-    await Promise.race([delay(Math.min(ms, this.#options.lookEveryMs ?? DEFAULT_LOOK_MS)), woken])
-    if (!this.#holds && !this.#stopped && !this.#wasTold) await this.#orRetry(() => this.#read())
+    await Promise.race([delay(Math.min(ms, this.#options.lookEveryMs ?? DEFAULT_POLL_INTERVAL_MS)), woken])
+    if (!this.#isHolder && !this.#stopped && !this.#announcedRecently) await this.#rereadOnFailure(() => this.#read())
   }
 
-  get #wasTold (): boolean {
-    return steadyNow() - this.#toldAtMs < (this.#options.ttlMs ?? DEFAULT_TTL_MS) * WORD_PART
+  get #announcedRecently (): boolean {
+    return steadyNow() - this.#lastAnnouncementAtMs < (this.#options.ttlMs ?? DEFAULT_TTL_MS) * ANNOUNCEMENT_FRACTION
   }
 
-  /** A word may come late; only one of a later version than this daemon has seen tells anything. */
-  #told ({ name, record, version }: LeaseAnnouncement): void {
-    if (name !== this.#options.name || version <= this.#state.version || this.#stopped || !this.#fresh) return
-    this.#toldAtMs = steadyNow()
-    this.#learn({ record, version })
-    // Given up: there is nothing to wait for.
+  /** Announcements may arrive late; only versions newer than the one known count. */
+  #onAnnouncement ({ name, record, version }: LeaseAnnouncement): void {
+    if (name !== this.#options.name || version <= this.#state.version || this.#stopped || !this.#hasCurrentRecord) return
+    this.#lastAnnouncementAtMs = steadyNow()
+    this.#observe({ record, version })
+    // The lease was released and can be acquired immediately.
     if (record.ttlMs === 0) this.#wake()
   }
 
   async #read (): Promise<void> {
     const found = await this.#options.store.get(this.#key)
     const record = found && (JSON.parse(found.value) as Marked<LeaseRecord>).data
-    this.#learn(found && record ? { record, version: found.version } : undefined)
+    this.#observe(found && record ? { record, version: found.version } : undefined)
   }
 
   async #write (record: LeaseRecord, version: number): Promise<void> {
     this.#state = sending(this.#state, record, steadyNow())
-    const driftMs = drift()
+    const offsetMs = clockOffsetMs()
     const result = await writeSurely(this.#options.store, this.#key, { writeId: record.renewal, data: record, version })
-    if (!result.applied) return this.#learn(result.found && result.data ? { record: result.data, version: result.found.version } : undefined)
-    if (record.fencing !== this.#state.record?.fencing) this.#raise = false
-    this.#driftMs = driftMs
-    this.#learn({ record, version: result.version })
+    if (!result.applied) return this.#observe(result.found && result.data ? { record: result.data, version: result.found.version } : undefined)
+    if (record.fencing !== this.#state.record?.fencing) this.#raiseRequested = false
+    this.#clockOffsetMs = offsetMs
+    this.#observe({ record, version: result.version })
     this.#options.peers?.announce({ name: this.#options.name, record, version: result.version })
   }
 
-  #learn (found: { record: LeaseRecord, version: number } | undefined): void {
+  #observe (found: { record: LeaseRecord, version: number } | undefined): void {
     const { self } = this.#options
     const before = this.#state.record
     this.#state = seen(this.#state, found, { self, now: steadyNow() })
     const { record } = this.#state
     if (!record || record.fencing === before?.fencing) return
-    if (record.holder === self && before && before.holder !== self) this.#notBeforeMs = this.#actedAtMs + (this.#options.apartMs ?? 0)
+    if (record.holder === self && before && before.holder !== self) this.#notBeforeMs = this.#lastActiveAtMs + (this.#options.apartMs ?? 0)
     log('lease-changed', { name: this.#options.name, holder: record.holder, fencing: record.fencing })
     if (record.holder === self) this.onChange(record.fencing)
     else if (before?.holder === self) this.onChange(undefined)
   }
 
-  /** After an unsure renewal the record is read again before anything is believed. */
-  async #orRetry (act: () => Promise<void>): Promise<void> {
+  /** After a failed store call, the outcome of which may be unknown, the record is read again before it is used. */
+  async #rereadOnFailure (operation: () => Promise<void>): Promise<void> {
     try {
-      await act()
-      this.#unansweredSinceMs = undefined
+      await operation()
+      this.#storeFailingSinceMs = undefined
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
-      this.#unansweredSinceMs ??= steadyNow()
+      this.#storeFailingSinceMs ??= steadyNow()
       log('lease-call-failed', { name: this.#options.name, why: err.message })
       await delay(this.#options.retryMs ?? DEFAULT_RETRY_MS)
-      await this.#read().catch((again) => { if (!(again instanceof StoreError)) throw again })
+      await this.#read().catch((retryErr) => { if (!(retryErr instanceof StoreError)) throw retryErr })
     }
   }
 }
 
-/** How far the time of day is ahead of the steady clock. */
-function drift (): number {
+/** Offset of the wall clock from the steady clock, in milliseconds. */
+function clockOffsetMs (): number {
   return Date.now() - steadyNow()
 }
--- a/daemon/fleet/lease_task_test.ts
+++ b/daemon/fleet/lease_task_test.ts
@@ -2,7 +2,7 @@
 import { as, type DaemonId, type EndpointId } from '../../core/ids/index.ts'
 import { Ledger, StandInEngine, StandInStore } from '../../standins/index.ts'
 import { LeaseTask, type LeasePeers, type LeaseAnnouncement } from './lease_task.ts'
-import { OrderKeeper, type WantedState } from './order_keeper.ts'
+import { OrderKeeper, type DesiredState } from './order_keeper.ts'
 
 const TTL_MS = 10_000
 const tasks: LeaseTask[] = []
@@ -25,176 +25,176 @@
   return new StandInEngine({ address: 'e', speed, ledger: new Ledger(), peers: () => undefined })
 }
 
-const pass = (ms: number) => vi.advanceTimersByTimeAsync(ms)
+const advance = (ms: number) => vi.advanceTimersByTimeAsync(ms)
 const E = as<EndpointId>('e')
-const WANTED: WantedState = { models: ['rankings-v2'], role: 'both' }
+const DESIRED: DesiredState = { models: ['rankings-v2'], role: 'both' }
 
-test('one daemon holds the lease, renews it, and another takes over when it stops', async () => {
+test('one daemon holds and renews the lease, and another takes over when it stops', async () => {
   const store = new StandInStore()
   const a = lease(store, 'a')
-  await pass(100)
+  await advance(100)
   const b = lease(store, 'b')
-  await pass(60_000)
+  await advance(60_000)
   expect([a.fencing, b.fencing]).toEqual([1, undefined])
   a.stop()
-  await pass(40_000)
+  await advance(40_000)
   expect([a.fencing, b.fencing]).toEqual([undefined, 2])
 })
 
-/** Words between the daemons that contend, which can be cut off. */
-class Words {
+/** In-memory channel between contenders; `cut` drops all announcements. */
+class AnnouncementChannel {
   cut = false
-  readonly #hearers = new Map<string, (word: LeaseAnnouncement) => void>()
+  readonly #listeners = new Map<string, (announcement: LeaseAnnouncement) => void>()
 
   of (name: string): LeasePeers {
     return {
-      announce: (word) => { if (!this.cut) for (const [other, hear] of this.#hearers) if (other !== name) hear(word) },
-      onAnnouncement: (hear) => { this.#hearers.set(name, hear) }
+      announce: (announcement) => { if (!this.cut) for (const [other, listener] of this.#listeners) if (other !== name) listener(announcement) },
+      onAnnouncement: (hear) => { this.#listeners.set(name, hear) }
     }
   }
 }
 
-test('daemons that wait for a lease look at it only while its holder gives them no word', async () => {
-  // Every look is a call that the store counts: two daemons that wait made a fifth of all calls of a fleet of 19.
+test('waiting contenders read the lease only when announcements of its holder are missing', async () => {
+  // Every read is a paid store call: two waiting contenders made a fifth of all calls of a fleet of 19.
   const store = new StandInStore()
-  const words = new Words()
-  const [a, b] = ['a', 'b', 'c'].map((name) => lease(store, name, { peers: words.of(name) })) as [LeaseTask, LeaseTask]
-  await pass(TTL_MS)
+  const channel = new AnnouncementChannel()
+  const [a, b] = ['a', 'b', 'c'].map((name) => lease(store, name, { peers: channel.of(name) })) as [LeaseTask, LeaseTask]
+  await advance(TTL_MS)
   const reads = store.calls.reads
-  await pass(TTL_MS * 10)
+  await advance(TTL_MS * 10)
   expect(store.calls.reads - reads).toBe(0)
-  words.cut = true
-  await pass(TTL_MS * 10)
+  channel.cut = true
+  await advance(TTL_MS * 10)
   expect(store.calls.reads - reads).toBeGreaterThan(10)
   expect([a.fencing, b.fencing]).toEqual([1, undefined])
 })
 
-test('a holder that stops is followed as early by daemons that heard its words as by those that looked', async () => {
-  const timeToFollow = async (peers: (name: string) => LeasePeers | undefined) => {
+test('failover is as fast with announcements as with reads', async () => {
+  const failoverMs = async (peers: (name: string) => LeasePeers | undefined) => {
     const store = new StandInStore()
-    const options = (name: string) => { const words = peers(name); return words ? { peers: words } : {} }
+    const options = (name: string) => { const channel = peers(name); return channel ? { peers: channel } : {} }
     const a = lease(store, 'a', options('a'))
-    await pass(100)
+    await advance(100)
     const b = lease(store, 'b', options('b'))
-    await pass(TTL_MS * 3)
+    await advance(TTL_MS * 3)
     a.stop()
     let ms = 0
-    for (; b.fencing === undefined; ms += 100) await pass(100)
+    for (; b.fencing === undefined; ms += 100) await advance(100)
     return ms
   }
-  const words = new Words()
-  const told = await timeToFollow((name) => words.of(name))
-  expect(told).toBeLessThanOrEqual(await timeToFollow(() => undefined))
+  const channel = new AnnouncementChannel()
+  const withAnnouncements = await failoverMs((name) => channel.of(name))
+  expect(withAnnouncements).toBeLessThanOrEqual(await failoverMs(() => undefined))
 })
 
-test('a lease that is given up with a word is taken over at once', async () => {
+test('a lease whose release is announced is taken over immediately', async () => {
   const store = new StandInStore()
-  const words = new Words()
-  const a = lease(store, 'a', { peers: words.of('a') })
-  await pass(100)
-  const b = lease(store, 'b', { peers: words.of('b') })
-  await pass(TTL_MS)
+  const channel = new AnnouncementChannel()
+  const a = lease(store, 'a', { peers: channel.of('a') })
+  await advance(100)
+  const b = lease(store, 'b', { peers: channel.of('b') })
+  await advance(TTL_MS)
   await a.release()
-  await pass(50)
+  await advance(50)
   expect(b.fencing).toBe(2)
 })
 
-test('a renewal that was applied without an answer keeps the lease and its number', async () => {
+test('a renewal that was applied but not acknowledged keeps the lease and its fencing number', async () => {
   const store = new StandInStore()
   const a = lease(store, 'a')
-  await pass(100)
+  await advance(100)
   store.faults.loseAnswers = 3
-  await pass(30_000)
+  await advance(30_000)
   expect(a.fencing).toBe(1)
 })
 
-test('an outage longer than the lease stops all orders, and afterwards one daemon holds it', async () => {
+test('a store outage longer than the lease stops all orders, and one daemon holds the lease afterwards', async () => {
   const store = new StandInStore()
   const [a, b] = [lease(store, 'a'), lease(store, 'b')]
-  await pass(1000)
+  await advance(1000)
   store.faults.down = true
-  await pass(TTL_MS * 3)
+  await advance(TTL_MS * 3)
   expect([a.fencing, b.fencing]).toEqual([undefined, undefined])
   store.faults.down = false
-  await pass(TTL_MS * 3)
+  await advance(TTL_MS * 3)
   expect([a.fencing, b.fencing].filter((fencing) => fencing !== undefined)).toHaveLength(1)
 })
 
-test('in an outage the last holder keeps its number for orders that cannot wait, until it is over or another has the lease', async () => {
-  // A wave of reclaims while the store is down leaves no endpoint: the holder's lease runs out, and nobody can take it.
+test('during a store outage the last holder keeps its fencing number for urgent orders, until the grace period or the outage ends', async () => {
+  // Guards against a series of reclaims that leaves no endpoint while the store is down: the lease expires and no daemon can acquire it.
   const store = new StandInStore()
   const [a, b] = [lease(store, 'a', { fenced: true }), lease(store, 'b', { fenced: true })]
-  await pass(1000)
+  await advance(1000)
   expect(a.fencingInOutage).toBeUndefined()
   store.faults.down = true
-  await pass(TTL_MS + 5000)
+  await advance(TTL_MS + 5000)
   expect([a.fencing, a.fencingInOutage, b.fencingInOutage]).toEqual([undefined, 1, undefined])
   store.faults.down = false
-  await pass(TTL_MS * 2)
+  await advance(TTL_MS * 2)
   expect([a.fencingInOutage, b.fencingInOutage]).toEqual([undefined, undefined])
   store.faults.down = true
-  await pass(TTL_MS + 25_000)
+  await advance(TTL_MS + 25_000)
   expect([a.fencingInOutage, b.fencingInOutage]).toEqual([undefined, undefined])
 })
 
-test('where orders are not fenced, or a successor was seen, the last holder keeps nothing', async () => {
+test('without fenced orders, or after a sign of a successor, the last holder gets no grace period', async () => {
   const store = new StandInStore()
   const a = lease(store, 'a')
-  await pass(1000)
+  await advance(1000)
   store.faults.down = true
-  await pass(TTL_MS + 5000)
+  await advance(TTL_MS + 5000)
   expect(a.fencingInOutage).toBeUndefined()
   const other = new StandInStore()
   const c = lease(other, 'c', { fenced: true })
-  await pass(1000)
+  await advance(1000)
   other.faults.down = true
-  await pass(TTL_MS + 1000)
-  c.giveUpOutage()
+  await advance(TTL_MS + 1000)
+  c.endOutageGrace()
   expect(c.fencingInOutage).toBeUndefined()
 })
 
-test('a holder that gets the lease back does not act by turns with the one between', async () => {
-  // Endpoints are ordered and stopped by turns, and nobody checks the numbers: the lease was handed over, and handed back a moment later.
+test('a daemon that regains the lease waits, so that two daemons do not act alternately', async () => {
+  // Guards against endpoints being ordered and stopped alternately: the lease is handed over and back shortly after, and the receiver ignores fencing numbers.
   const store = new StandInStore()
   const apartMs = 60_000
   let turn = 'a'
   const [a, b] = ['a', 'b'].map((name) => lease(store, name, { apartMs, contends: () => turn === name })) as [LeaseTask, LeaseTask]
-  await pass(1000)
+  await advance(1000)
   expect([a.fencing, b.fencing]).toEqual([1, undefined])
   turn = 'b'
-  await pass(20_000)
+  await advance(20_000)
   expect([a.fencing, b.fencing]).toEqual([undefined, 2])
   turn = 'a'
-  await pass(20_000)
+  await advance(20_000)
   expect([a.fencing, b.fencing]).toEqual([undefined, undefined])
-  await pass(apartMs)
+  await advance(apartMs)
   expect([a.fencing, b.fencing]).toEqual([3, undefined])
 })
 
-test('an engine that checks refuses the order of a holder that was paused and woke', async () => {
-  // Selectors get answers of last season's model. The holder is paused, its lease runs out, another daemon loads the new model; the first
-  // wakes and gives the order it had in hand. Its number is older than the one the engine has seen.
+test('an engine that checks fencing numbers rejects the order of a holder that was paused', async () => {
+  // Guards against answers from an outdated model: the holder is paused, its lease expires and a successor loads the new model; then the first
+  // resumes and sends its pending order with an older fencing number.
   const target = engine()
-  await target.order({ ...WANTED, fencing: 2 })
+  await target.order({ ...DESIRED, fencing: 2 })
   await expect(target.order({ models: ['rankings-v1'], role: 'both', fencing: 1 })).rejects.toThrow('fencing number is old')
-  expect(await target.orders()).toMatchObject(WANTED)
+  expect(await target.orders()).toMatchObject(DESIRED)
 })
 
-test('an engine that ignores the number is put right by the holder that reads back', async () => {
-  // The same, on an engine that does not check: the old order is taken. The next round of the present holder finds it and repeats its own.
+test('an engine that ignores fencing numbers is corrected by the next round of the holder', async () => {
+  // The same on an engine that does not check: it accepts the old order. The next round of the current holder detects that and repeats its own.
   const target = engine()
   target.faults.ignoreFencing = true
-  const keeper = new OrderKeeper({ engine: () => target, fencing: () => 2 })
-  expect(await keeper.reconcile(new Map([[E, WANTED]]))).toBe(1)
+  const reconciler = new OrderKeeper({ engine: () => target, fencing: () => 2 })
+  expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(1)
   await target.order({ models: ['rankings-v1'], role: 'both', fencing: 1 })
-  expect(await keeper.reconcile(new Map([[E, WANTED]]))).toBe(1)
-  expect(await target.orders()).toEqual({ ...WANTED, fencing: 2 })
-  expect(await keeper.reconcile(new Map([[E, WANTED]]))).toBe(0)
+  expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(1)
+  expect(await target.orders()).toEqual({ ...DESIRED, fencing: 2 })
+  expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(0)
 })
 
-test('without the lease no order is given', async () => {
+test('no order is sent without the lease', async () => {
   const target = engine()
-  const keeper = new OrderKeeper({ engine: () => target, fencing: () => undefined })
-  expect(await keeper.reconcile(new Map([[E, WANTED]]))).toBe(0)
+  const reconciler = new OrderKeeper({ engine: () => target, fencing: () => undefined })
+  expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(0)
   expect(await target.orders()).toBeUndefined()
 })
