--- a/daemon/duties/order_task.ts
+++ b/daemon/duties/order_task.ts
@@ -1,4 +1,4 @@
-/** Orders endpoints so that each pool has what its work needs, on whichever daemon holds the lease. */
+/** Scales each pool to its load by ordering endpoints from the platform, on the daemon that holds the lease. */
 import type { Pool, Scaling } from '../../core/catalog/index.ts'
 import { EndpointDemand, SlotDemand, spreadPlan, type DomainFleet, type DomainMix, type EndpointsWanted } from '../../core/fleet/index.ts'
 import { runningNow, type EndpointView } from '../../core/routing/index.ts'
@@ -13,6 +13,7 @@
 
 /** Options of {@linkcode OrderTask}. */
 export interface OrderTaskOptions {
+  /** Name of this daemon as the platform knows it. */
   name: string
   duties: Duties
   lease: LeaseTask
@@ -20,71 +21,72 @@
   tallies: TallyTask
   metrics: Metrics
   pools (): Iterable<Pool>
-  /** Tokens a second that all client accounts together may ask for, by their quotas; 0 where none is known. */
+  /** Total token rate that the quotas of all client accounts allow, in tokens per second; 0 when no quota is known. */
   allowedTokensPerS (): number
-  /** Versions of endpoints, where some are rolled out. Default: all endpoints are alike. */
+  /** Endpoint versions, where roll-outs are supported. Default: endpoints are not distinguished by version. */
   versions?: PoolVersions | undefined
-  /** The whole system starts for the first time: there is no work yet, and none is assumed. Default false. */
+  /** The whole system starts for the first time: existing endpoints are not taken as a sign of load. Default false. */
   firstStart?: boolean
 }
 
-/** Which version of a pool's endpoints carries its work. */
+/** Versions of the endpoints of a pool. */
 export interface PoolVersions {
+  /** The version that serves the pool's regular traffic; undefined when endpoints do not report versions. */
   carries (pool: PoolName): EndpointVersion | undefined
-  /** True until a roll-out has come to its verdict. */
+  /** True while a roll-out of the pool is undecided. */
   isRolling (pool: PoolName): boolean
 }
 
 const MS_PER_S = 1000
-const ROUND_MS = 250
-/** An order that was refused is not given again for this long, in milliseconds: each call has its price. */
-const REFUSED_MS = 2000
-/** An order whose fate is not known, or that was turned away, is given again after this long, in milliseconds. */
-const FAILED_MS = 500
-/** Time beyond that of booting after which an order that shows no effect is given again, in milliseconds. */
-const OVERDUE_MS = 3000
-/** Fewest reclaimable engines in each failure domain: work comes in bursts, and another takes seconds to boot. */
-const LEAST_PER_DOMAIN = 2
+const RECONCILE_INTERVAL_MS = 250
+/** Delay before a refused order is sent again, in milliseconds: each call costs money. */
+const REFUSAL_BACKOFF_MS = 2000
+/** Delay before an order that failed or has an unknown outcome is sent again, in milliseconds. */
+const FAILURE_RETRY_MS = 500
+/** Time in addition to the boot time after which an order without effect is sent again, in milliseconds. */
+const BOOT_GRACE_MS = 3000
+/** Minimum number of reclaimable engines per failure domain: load is bursty, and another engine takes seconds to boot. */
+const MIN_PER_DOMAIN = 2
 /**
- * Part of what all accounts may ask for that is assumed before the first work is counted.
+ * Fraction of the total quota of all accounts that is assumed as load until the first load is measured.
  *
- * Traffic comes at once, and what it needs beyond the least boots for seconds, in which most callers would be turned away. Quotas are all that is known of the work by
- * then.
+ * Traffic starts immediately, and engines beyond the minimum boot for seconds, in which most requests would be rejected. Quotas are the only information about
+ * the load at that time.
  */
-const ASSUMED_PART = 0.5
-/** Part of an engine's time that work may take before it comes late: arrivals come in bursts of a second. */
-const MOST_UTILIZATION = 0.7
-/** Part that it takes with comfort: what is left bears the loss of one failure domain of three, or bursts of half as much again. */
-const COMFORTABLE_UTILIZATION = 0.45
-/** Part of all batch slots that work may take before it waits for one: arrivals come in bursts of a second. */
-const MOST_SLOTS_TAKEN = 0.6
-/** Part that it may take for the seconds in which endpoints boot: with more, requests wait for slots as long as those that have one run. */
-const MOST_SLOTS_IN_NEED = 0.7
-/** Part that it takes with comfort: what is left bears the loss of one failure domain of three, and a burst of a third more. */
-const COMFORTABLE_SLOTS_TAKEN = 0.3
-const DEMAND = 'demand/'
+const ASSUMED_QUOTA_FRACTION = 0.5
+/** Utilization above which requests become late: arrivals come in bursts of a second. */
+const MAX_UTILIZATION = 0.7
+/** Target utilization: the headroom covers the loss of one of three failure domains, or bursts of 50%. */
+const TARGET_UTILIZATION = 0.45
+/** Fraction of batch slots in use above which requests wait for a slot: arrivals come in bursts of a second. */
+const MAX_SLOT_UTILIZATION = 0.6
+/** Slot utilization tolerated for the seconds in which endpoints boot: above it, requests wait for slots as long as running requests last. */
+const MAX_SLOT_UTILIZATION_WHILE_BOOTING = 0.7
+/** Target slot utilization: the headroom covers the loss of one of three failure domains and a burst of a third. */
+const TARGET_SLOT_UTILIZATION = 0.3
+const DEMAND_KEY_PREFIX = 'demand/'
 
-/** Work of a pool, in engines that would do nothing else: by the time that reading takes, and by the batch slots that are taken. */
-interface PoolDemand { reading: number, slots: number }
+/** Load of a pool in fully utilized engines: by prefill time and by occupied batch slots. */
+interface PoolDemand { prefill: number, slots: number }
 
-/** An order as it was last given, and what came of it. */
-interface Given {
+/** The last order of a kind and its result. */
+interface LastOrder {
   count: number
   atMs: number
   result: 'given' | 'refused' | 'failed'
-  /** There were none to be had, by the last order that was answered: one without an answer says nothing of that. */
-  noneToBeHad: boolean
+  /** No endpoints were available according to the last answered order; an unanswered order does not change this. */
+  unavailable: boolean
 }
 
 /**
- * Gives orders of wanted counts.
+ * Orders the number of endpoints that each pool needs.
  *
- * Each round compares what the registry lists with what the plan wants, so that a new holder of the lease goes on from what is there. An order
- * states a count and not a step, so that repeating it does no harm.
+ * Each round compares the endpoints in the registry with the plan, so that a new lease holder continues from the actual state. An order contains
+ * an absolute count, so repeating it is safe.
  */
 export class OrderTask {
   readonly #options: OrderTaskOptions
-  readonly #given = new Map<string, Given>()
+  readonly #lastOrders = new Map<string, LastOrder>()
   readonly #demand = new Map<PoolName, EndpointDemand>()
   readonly #slotDemand = new Map<PoolName, SlotDemand>()
   #timer: NodeJS.Timeout | undefined
@@ -93,25 +95,25 @@
     this.#options = options
   }
 
-  /** Counts work that was asked for. */
+  /** Records the tokens of a request as demand. */
   asked (pool: PoolName, tokens: number): void {
-    this.#options.tallies.tally.add(DEMAND + pool, tokens)
+    this.#options.tallies.tally.add(DEMAND_KEY_PREFIX + pool, tokens)
   }
 
-  /** Begins to order whenever this daemon holds the lease. */
+  /** Starts periodic reconciliation; orders are sent only while this daemon holds the lease. */
   start (): void {
-    this.#timer = setInterval(() => this.#round(), ROUND_MS)
+    this.#timer = setInterval(() => this.#reconcile(), RECONCILE_INTERVAL_MS)
   }
 
-  /** Stops. */
+  /** Stops reconciliation. */
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  #round (): void {
+  #reconcile (): void {
     const { lease, pools } = this.#options
-    // Whoever takes the lease begins anew: what it gave before is of another time.
-    if (lease.fencing === undefined && lease.fencingInOutage === undefined) this.#given.clear()
+    // A new holder starts without history: its orders from an earlier term are outdated.
+    if (lease.fencing === undefined && lease.fencingInOutage === undefined) this.#lastOrders.clear()
     for (const pool of pools()) {
       if (!pool.scaling) continue
       const demand = this.#countDemand(pool.name)
@@ -122,10 +124,10 @@
   }
 
   /**
-   * Counts the work in engines, on each daemon that keeps everybody's totals.
+   * Measures the load in engines, on every tally replica.
    *
-   * Any of them may take the lease over. One that began to count only then would keep every endpoint until it knows, and in a roll of restarts the next
-   * would begin again.
+   * Any replica may take over the lease. If it started measuring only then, it would have to keep all endpoints until the measurement settles, and during a
+   * rolling restart every successor would start over.
    */
   #countDemand (pool: PoolName): PoolDemand | undefined {
     const { lease, tallies } = this.#options
@@ -134,14 +136,14 @@
       this.#slotDemand.delete(pool)
       return undefined
     }
-    const key = DEMAND + pool
+    const key = DEMAND_KEY_PREFIX + pool
     const msPerToken = this.#options.table.pace(pool)?.msPerToken
     if (msPerToken === undefined) return undefined
-    const asked = { tokens: tallies.tally.sum(key), tellers: tallies.tally.tellers(key), msPerToken }
-    const demand = this.#demand.get(pool) ?? this.#firstDemand(pool, asked.tokens)
+    const counted = { tokens: tallies.tally.sum(key), tellers: tallies.tally.tellers(key), msPerToken }
+    const demand = this.#demand.get(pool) ?? this.#initialDemand(pool, counted.tokens)
     this.#demand.set(pool, demand)
-    if (demand.uncounted(steadyNow())) demand.assume(this.#options.allowedTokensPerS() * ASSUMED_PART * msPerToken / MS_PER_S)
-    return { reading: demand.engines(asked, steadyNow()), slots: this.#countSlots(pool) }
+    if (demand.uncounted(steadyNow())) demand.assume(this.#options.allowedTokensPerS() * ASSUMED_QUOTA_FRACTION * msPerToken / MS_PER_S)
+    return { prefill: demand.engines(counted, steadyNow()), slots: this.#countSlots(pool) }
   }
 
   #countSlots (pool: PoolName): number {
@@ -155,51 +157,53 @@
   #orderPool (pool: Pool, scaling: Scaling, demand: PoolDemand): void {
     const domains = [...scaling.pricePerS.keys()]
     const fleet = domains.map((domain) => this.#fleetOf(pool.name, domain))
-    const wanted = wantedFor(demand, fleet)
-    this.#askAgain(pool, scaling, { fleet, perDomain: Math.ceil(wanted.comfortably / domains.length) })
-    for (const mix of spreadPlan(wanted, scaling, fleet)) this.#orderMix(pool, scaling, this.#sure(pool.name, mix))
+    const wanted = endpointsWanted(demand, fleet)
+    this.#retryReclaimable(pool, scaling, { fleet, perDomain: Math.ceil(wanted.comfortably / domains.length) })
+    for (const mix of spreadPlan(wanted, scaling, fleet)) this.#orderMix(pool, scaling, this.#keepUntilSettled(pool.name, mix))
   }
 
   /**
-   * In the store's outage nothing is given up, and nothing is asked for that may be refused for want of it: a refusal there means that somebody else
-   * holds the lease.
+   * Orders missing on-demand endpoints during a store outage.
+   *
+   * Counts are never lowered, and reclaimable endpoints, which may be refused for lack of capacity, are not ordered: a refusal therefore means that another
+   * daemon holds the lease.
    */
   #orderMissing (pool: Pool, scaling: Scaling, demand: PoolDemand): void {
     const fleet = [...scaling.pricePerS.keys()].map((domain) => this.#fleetOf(pool.name, domain)).map((domain) => ({ ...domain, reclaimableToBeHad: false }))
-    for (const mix of spreadPlan(wantedFor(demand, fleet), scaling, fleet)) {
-      const has = fleet.find((domain) => domain.failureDomain === mix.failureDomain)!.onDemand
+    for (const mix of spreadPlan(endpointsWanted(demand, fleet), scaling, fleet)) {
+      const existing = fleet.find((domain) => domain.failureDomain === mix.failureDomain)!.onDemand
       const order = { pool: pool.name, failureDomain: mix.failureDomain, reclaimable: false, count: mix.onDemand }
-      if (mix.onDemand > has) this.#order(order, { has, bootMs: scaling.bootMs })
+      if (mix.onDemand > existing) this.#orderIfDue(order, { count: existing, bootMs: scaling.bootMs })
     }
   }
 
   /**
-   * Gives up no endpoint before the work is known.
+   * Raises the plan to the existing counts until the measured load has settled.
    *
-   * A daemon that takes the lease over in the middle of a burst has not counted yet; going by what serves just after a reclaim, it would stop
-   * endpoints that the work needs, and order them again a moment later.
+   * A daemon that takes over the lease during a burst has no measurement yet. Estimating the load from the endpoints left after a reclaim, it would stop
+   * endpoints that are needed and order them again shortly after.
    */
-  #sure (pool: PoolName, mix: DomainMix): DomainMix {
+  #keepUntilSettled (pool: PoolName, mix: DomainMix): DomainMix {
     if (this.#demand.get(pool)!.settled(steadyNow())) return mix
-    const now = this.#fleetOf(pool, mix.failureDomain)
-    return { ...mix, onDemand: Math.max(mix.onDemand, now.onDemand), reclaimable: Math.max(mix.reclaimable, now.reclaimable) }
+    const existing = this.#fleetOf(pool, mix.failureDomain)
+    return { ...mix, onDemand: Math.max(mix.onDemand, existing.onDemand), reclaimable: Math.max(mix.reclaimable, existing.reclaimable) }
   }
 
-  /** What is there was ordered for the work that there is; leaving endpoints were, too. */
-  #firstDemand (pool: PoolName, tokens: number): EndpointDemand {
+  /** Estimates the initial load from the existing endpoints, leaving ones included: they were ordered for it. */
+  #initialDemand (pool: PoolName, tokens: number): EndpointDemand {
     const idle = this.#options.firstStart === true && tokens === 0
-    const there = this.#options.table.all.filter((view) => view.pool === pool).length
-    return new EndpointDemand({ first: idle ? 0 : there * COMFORTABLE_UTILIZATION, idle, now: steadyNow() })
+    const existing = this.#options.table.all.filter((view) => view.pool === pool).length
+    return new EndpointDemand({ first: idle ? 0 : existing * TARGET_UTILIZATION, idle, now: steadyNow() })
   }
 
-  /** Endpoints that carry the pool's work; those of a version on trial do not. */
+  /** Endpoints that serve the pool's regular traffic; those of a canary version do not count. */
   #fleetOf (pool: PoolName, failureDomain: FailureDomain): DomainFleet {
-    const carries = this.#options.versions?.carries(pool)
-    const staying = this.#staying(pool, failureDomain).filter(({ version }) => carries === undefined || version === undefined || version === carries)
+    const activeVersion = this.#options.versions?.carries(pool)
+    const staying = this.#staying(pool, failureDomain).filter(({ version }) => activeVersion === undefined || version === undefined || version === activeVersion)
     return {
       failureDomain,
-      ...kindsOf(staying),
-      reclaimableToBeHad: this.#given.get(keyOf({ pool, failureDomain, reclaimable: true }))?.noneToBeHad !== true
+      ...countByKind(staying),
+      reclaimableToBeHad: this.#lastOrders.get(orderKey({ pool, failureDomain, reclaimable: true }))?.unavailable !== true
     }
   }
 
@@ -208,104 +212,104 @@
   }
 
   /**
-   * Asks for reclaimable endpoints where there were none to be had, in all such domains at once, so that they come back together.
+   * Retries reclaimable endpoints in all failure domains where none were available, so that capacity returns to all of them at the same time.
    *
-   * Always for one more than there are: a count that is there already is taken also while there are none to be had, and so is one that a full domain
-   * has no room for.
+   * Always orders at least one more than exist: the platform accepts an already satisfied count even when none are available, which would say nothing about
+   * availability. Domains at their maximum are skipped for the same reason.
    */
-  #askAgain (pool: Pool, scaling: Scaling, hoped: { fleet: readonly DomainFleet[], perDomain: number }): void {
-    const without = hoped.fleet.filter(({ reclaimableToBeHad, onDemand, reclaimable }) => !reclaimableToBeHad && onDemand + reclaimable < scaling.max)
-    const due = without.some((domain) => this.#refusedSinceMs(pool.name, domain.failureDomain) > REFUSED_MS)
+  #retryReclaimable (pool: Pool, scaling: Scaling, target: { fleet: readonly DomainFleet[], perDomain: number }): void {
+    const unavailable = target.fleet.filter(({ reclaimableToBeHad, onDemand, reclaimable }) => !reclaimableToBeHad && onDemand + reclaimable < scaling.max)
+    const due = unavailable.some((domain) => this.#sinceLastOrderMs(pool.name, domain.failureDomain) > REFUSAL_BACKOFF_MS)
     if (!due) return
-    for (const { failureDomain, onDemand, reclaimable } of without) {
-      const count = Math.min(scaling.max - onDemand, Math.max(hoped.perDomain, reclaimable + 1))
-      this.#give({ pool: pool.name, failureDomain, reclaimable: true, count })
+    for (const { failureDomain, onDemand, reclaimable } of unavailable) {
+      const count = Math.min(scaling.max - onDemand, Math.max(target.perDomain, reclaimable + 1))
+      this.#sendOrder({ pool: pool.name, failureDomain, reclaimable: true, count })
     }
   }
 
-  #refusedSinceMs (pool: PoolName, failureDomain: FailureDomain): number {
-    const given = this.#given.get(keyOf({ pool, failureDomain, reclaimable: true }))
-    return given ? steadyNow() - given.atMs : Infinity
+  #sinceLastOrderMs (pool: PoolName, failureDomain: FailureDomain): number {
+    const last = this.#lastOrders.get(orderKey({ pool, failureDomain, reclaimable: true }))
+    return last ? steadyNow() - last.atMs : Infinity
   }
 
   #orderMix (pool: Pool, scaling: Scaling, mix: DomainMix): void {
     const { failureDomain } = mix
     const fleet = this.#fleetOf(pool.name, failureDomain)
-    const all = kindsOf(this.#staying(pool.name, failureDomain))
+    const all = countByKind(this.#staying(pool.name, failureDomain))
     const order = { pool: pool.name, failureDomain }
-    const count = (kind: EndpointKind) => this.#countWith(pool.name, { wanted: mix[kind], has: fleet[kind], all: all[kind], most: scaling.max })
-    if (fleet.reclaimableToBeHad) this.#order({ ...order, reclaimable: true, count: count('reclaimable') }, { has: all.reclaimable, bootMs: scaling.bootMs })
-    this.#order({ ...order, reclaimable: false, count: count('onDemand') }, { has: all.onDemand, bootMs: scaling.bootMs })
+    const count = (kind: EndpointKind) => this.#countWithOtherVersions(pool.name, { wanted: mix[kind], active: fleet[kind], all: all[kind], max: scaling.max })
+    if (fleet.reclaimableToBeHad) this.#orderIfDue({ ...order, reclaimable: true, count: count('reclaimable') }, { count: all.reclaimable, bootMs: scaling.bootMs })
+    this.#orderIfDue({ ...order, reclaimable: false, count: count('onDemand') }, { count: all.onDemand, bootMs: scaling.bootMs })
   }
 
   /**
-   * Adds the endpoints of other versions, which the platform counts as well.
+   * Adds the endpoints of other versions, which the platform includes in its count.
    *
-   * While a version is rolled out none are given up: which of the two versions the platform would stop is not known.
+   * During a roll-out the count is never lowered: it is unknown which version's endpoints the platform would stop.
    */
-  #countWith (pool: PoolName, { wanted, has, all, most }: { wanted: number, has: number, all: number, most: number }): number {
-    const count = wanted + all - has
-    return this.#options.versions?.isRolling(pool) === true ? Math.max(all, Math.min(count, most)) : count
+  #countWithOtherVersions (pool: PoolName, { wanted, active, all, max }: { wanted: number, active: number, all: number, max: number }): number {
+    const count = wanted + all - active
+    return this.#options.versions?.isRolling(pool) === true ? Math.max(all, Math.min(count, max)) : count
   }
 
-  #order (order: EndpointOrder, now: { has: number, bootMs: number }): void {
-    if (this.#isDue(order, now)) this.#give(order)
+  #orderIfDue (order: EndpointOrder, current: { count: number, bootMs: number }): void {
+    if (this.#isDue(order, current)) this.#sendOrder(order)
   }
 
-  async #give (order: EndpointOrder): Promise<void> {
+  async #sendOrder (order: EndpointOrder): Promise<void> {
     const { lease } = this.#options
     const outage = lease.fencing === undefined
     const fencing = lease.fencing ?? lease.fencingInOutage
     if (fencing === undefined) return
-    const before = this.#given.get(keyOf(order))
-    const given: Given = { count: order.count, atMs: steadyNow(), result: before?.result ?? 'given', noneToBeHad: before?.noneToBeHad ?? false }
-    this.#given.set(keyOf(order), given)
+    const previous = this.#lastOrders.get(orderKey(order))
+    const sent: LastOrder = { count: order.count, atMs: steadyNow(), result: previous?.result ?? 'given', unavailable: previous?.unavailable ?? false }
+    this.#lastOrders.set(orderKey(order), sent)
     try {
       await this.#options.duties.order(order, { name: this.#options.name, fencing })
-      given.result = 'given'
-      given.noneToBeHad = false
+      sent.result = 'given'
+      sent.unavailable = false
       this.#options.metrics.orders.inc({ result: 'given' })
       log('order-given', { ...order, fencing })
     } catch (err) {
       if (!(err instanceof DutyError)) throw err
-      given.result = err.failure === 'refused' ? 'refused' : 'failed'
-      if (err.failure === 'refused') given.noneToBeHad = true
+      sent.result = err.failure === 'refused' ? 'refused' : 'failed'
+      if (err.failure === 'refused') sent.unavailable = true
       this.#options.metrics.orders.inc({ result: err.failure })
       log('order-refused', { ...order, fencing, failure: err.failure, why: err.message })
       if (outage && err.failure === 'refused') lease.endOutageGrace()
-      // It may be carried out yet, after newer orders: a higher fencing number makes the platform refuse it.
+      // The order may still be executed after newer ones; a higher fencing number makes the platform reject it.
       if (err.failure === 'unsure') lease.raiseFencing()
     }
   }
 
-  /** A count that was ordered stands; it is ordered again when it shows no effect, because it was lost or what it brought was reclaimed. */
-  #isDue (order: EndpointOrder, now: { has: number, bootMs: number }): boolean {
-    const given = this.#given.get(keyOf(order))
-    // The registry fills over seconds while everything starts; endpoints that it does not show yet are paid for all the same.
-    if (!given) return order.count !== now.has || this.#demand.get(order.pool)?.idle(steadyNow()) === true
-    const sinceMs = steadyNow() - given.atMs
-    if (given.result === 'refused') return order.count !== now.has && sinceMs > REFUSED_MS
-    if (given.result === 'failed') return sinceMs > FAILED_MS
-    if (given.count !== order.count) return true
-    return order.count !== now.has && sinceMs > now.bootMs + OVERDUE_MS
+  /** Whether to send an order. An unchanged count is sent again only when it has no effect, because the order was lost or its endpoints were reclaimed. */
+  #isDue (order: EndpointOrder, current: { count: number, bootMs: number }): boolean {
+    const last = this.#lastOrders.get(orderKey(order))
+    // At startup the registry fills over several seconds; endpoints that are not listed yet are paid for nevertheless.
+    if (!last) return order.count !== current.count || this.#demand.get(order.pool)?.idle(steadyNow()) === true
+    const sinceMs = steadyNow() - last.atMs
+    if (last.result === 'refused') return order.count !== current.count && sinceMs > REFUSAL_BACKOFF_MS
+    if (last.result === 'failed') return sinceMs > FAILURE_RETRY_MS
+    if (last.count !== order.count) return true
+    return order.count !== current.count && sinceMs > current.bootMs + BOOT_GRACE_MS
   }
 }
 
 type EndpointKind = 'onDemand' | 'reclaimable'
 
-function kindsOf (endpoints: readonly EndpointView[]): Record<EndpointKind, number> {
+function countByKind (endpoints: readonly EndpointView[]): Record<EndpointKind, number> {
   const reclaimable = endpoints.filter((view) => view.reclaimable).length
   return { onDemand: endpoints.length - reclaimable, reclaimable }
 }
 
-function wantedFor ({ reading, slots }: PoolDemand, fleet: readonly DomainFleet[]): EndpointsWanted {
+function endpointsWanted ({ prefill, slots }: PoolDemand, fleet: readonly DomainFleet[]): EndpointsWanted {
   return {
-    justEnough: Math.ceil(Math.max(reading, slots / MOST_SLOTS_IN_NEED)),
-    atLeast: Math.max(fleet.length, Math.ceil(reading / MOST_UTILIZATION), Math.ceil(slots / MOST_SLOTS_TAKEN)),
-    comfortably: Math.max(LEAST_PER_DOMAIN * fleet.length, Math.ceil(reading / COMFORTABLE_UTILIZATION), Math.ceil(slots / COMFORTABLE_SLOTS_TAKEN))
+    justEnough: Math.ceil(Math.max(prefill, slots / MAX_SLOT_UTILIZATION_WHILE_BOOTING)),
+    atLeast: Math.max(fleet.length, Math.ceil(prefill / MAX_UTILIZATION), Math.ceil(slots / MAX_SLOT_UTILIZATION)),
+    comfortably: Math.max(MIN_PER_DOMAIN * fleet.length, Math.ceil(prefill / TARGET_UTILIZATION), Math.ceil(slots / TARGET_SLOT_UTILIZATION))
   }
 }
 
-function keyOf ({ pool, failureDomain, reclaimable }: Omit<EndpointOrder, 'count'>): string {
+function orderKey ({ pool, failureDomain, reclaimable }: Omit<EndpointOrder, 'count'>): string {
   return `${pool}/${failureDomain}/${reclaimable ? 'reclaimable' : 'on-demand'}`
 }
--- a/daemon/duties/order_task_test.ts
+++ b/daemon/duties/order_task_test.ts
@@ -23,47 +23,47 @@
 
 let task: OrderTask | undefined
 
-/** A cloud that carries orders out: endpoints boot, serve, and are taken away. */
+/** Simulated cloud that executes orders: endpoints boot, serve and are reclaimed. */
 class Fleet {
   readonly table = new EndpointTable({ self: SELF, hash: (text) => text.length })
   readonly tally = new Tally(SELF)
   readonly orders: EndpointOrder[] = []
   readonly lease = { fencing: 1 as number | undefined, fencingInOutage: undefined as number | undefined, raiseFencing: () => {}, endOutageGrace: () => { this.lease.fencingInOutage = undefined } }
-  /** Failure domains that have no reclaimable endpoints to give. */
-  readonly dry = new Set<FailureDomain>()
-  /** What all accounts may ask for, in tokens a second. */
+  /** Failure domains without available reclaimable endpoints. */
+  readonly exhausted = new Set<FailureDomain>()
+  /** Total token rate that the quotas of all accounts allow, in tokens per second. */
   allowedTokensPerS = 0
-  /** Orders get no answer. */
-  silent = false
+  /** True while orders get no answer. */
+  unanswered = false
   /** Batch slots of each endpoint. */
   slots = 64
-  /** Requests that run at the same time, over all endpoints that serve. */
+  /** Concurrent requests over all serving endpoints. */
   running = 0
-  readonly #wanted = new Map<string, number>()
+  readonly #ordered = new Map<string, number>()
   #hosts: ListedHost[] = []
   #number = 0
 
-  constructor (onDemandEach: number, most = 4) {
-    for (const domain of DOMAINS) this.#set({ pool: POOL, failureDomain: domain, reclaimable: false, count: onDemandEach }, 0)
+  constructor (onDemandPerDomain: number, max = 4) {
+    for (const domain of DOMAINS) this.#set({ pool: POOL, failureDomain: domain, reclaimable: false, count: onDemandPerDomain }, 0)
     const pool: Pool = {
       name: POOL,
       healthPath: '/',
       maxConnections: 100,
       engine: undefined,
-      scaling: { min: 1, max: most, bootMs: BOOT_MS, reclaimableShare: 0.18, pricePerS: new Map(DOMAINS.map((domain, i) => [domain, 1 + i / 10])) }
+      scaling: { min: 1, max, bootMs: BOOT_MS, reclaimableShare: 0.18, pricePerS: new Map(DOMAINS.map((domain, i) => [domain, 1 + i / 10])) }
     }
     this.pools = () => [pool]
   }
 
   readonly pools: () => Pool[]
 
-  /** Endpoints that serve now. */
+  /** Number of serving endpoints of one kind. */
   serving (reclaimable: boolean): number {
     return this.table.all.filter((view) => view.leavingAtMs === undefined && view.reclaimable === reclaimable).length
   }
 
-  /** Endpoints that are paid for, boot or serve. */
-  get wanted (): number { return [...this.#wanted.values()].reduce((sum, count) => sum + count, 0) }
+  /** Number of ordered endpoints, booting or serving: those that are paid for. */
+  get orderedCount (): number { return [...this.#ordered.values()].reduce((sum, count) => sum + count, 0) }
 
   start (options: { firstStart?: boolean, versions?: PoolVersions } = {}): void {
     task = new OrderTask({
@@ -80,17 +80,17 @@
     task.start()
   }
 
-  /** Takes a domain's reclaimable endpoints away; there are none to be had anywhere for a while. */
+  /** Reclaims the reclaimable endpoints of a failure domain; afterwards none are available anywhere until `exhausted` is cleared. */
   reclaim (domain: FailureDomain): void {
-    for (const each of DOMAINS) this.dry.add(each)
-    const gone = this.#hosts.filter((host) => host.reclaimable && host.failureDomain === domain)
-    this.table.leaving(gone.map(({ hostId }) => hostId), Date.now() + 2000, 'notice')
-    this.#hosts = this.#hosts.filter((host) => !gone.includes(host))
-    this.#wanted.set(`${domain}/true`, 0)
+    for (const each of DOMAINS) this.exhausted.add(each)
+    const reclaimed = this.#hosts.filter((host) => host.reclaimable && host.failureDomain === domain)
+    this.table.leaving(reclaimed.map(({ hostId }) => hostId), Date.now() + 2000, 'notice')
+    this.#hosts = this.#hosts.filter((host) => !reclaimed.includes(host))
+    this.#ordered.set(`${domain}/true`, 0)
   }
 
-  /** Lets time pass while work of so many engines comes. */
-  async pass (ms: number, engines: number): Promise<void> {
+  /** Advances the clock under a constant load, given in engines. */
+  async advance (ms: number, engines: number): Promise<void> {
     for (let i = 0; i < ms / 250; i++) {
       this.tally.add(`demand/${POOL}`, engines * 100_000 / 4)
       const serving = this.table.all.filter((view) => view.leavingAtMs === undefined)
@@ -101,41 +101,41 @@
   }
 
   #order (order: EndpointOrder): void {
-    const has = this.#wanted.get(`${order.failureDomain}/${order.reclaimable}`) ?? 0
-    if (this.silent) throw new DutyError('Cannot order: no answer', { failure: 'unsure' })
-    if (order.reclaimable && order.count > has && this.dry.has(order.failureDomain)) throw new DutyError('Cannot order: none to be had', { failure: 'refused' })
+    const existing = this.#ordered.get(`${order.failureDomain}/${order.reclaimable}`) ?? 0
+    if (this.unanswered) throw new DutyError('Cannot order: no answer', { failure: 'unsure' })
+    if (order.reclaimable && order.count > existing && this.exhausted.has(order.failureDomain)) throw new DutyError('Cannot order: none available', { failure: 'refused' })
     this.orders.push(order)
     this.#set(order, BOOT_MS)
   }
 
   #set (order: EndpointOrder, bootMs: number): void {
     const key = `${order.failureDomain}/${order.reclaimable}`
-    this.#wanted.set(key, order.count)
-    const there = this.#hosts.filter((host) => `${host.failureDomain}/${host.reclaimable}` === key)
-    const stopped = there.slice(order.count)
+    this.#ordered.set(key, order.count)
+    const existing = this.#hosts.filter((host) => `${host.failureDomain}/${host.reclaimable}` === key)
+    const stopped = existing.slice(order.count)
     this.#hosts = this.#hosts.filter((host) => !stopped.includes(host))
     this.table.leaving(stopped.map(({ hostId }) => hostId), Date.now() + 2000, 'list')
     if (bootMs === 0) this.#boot(order)
     else setTimeout(() => this.#boot(order), bootMs)
   }
 
-  /** Starts as many endpoints of another version beside those that there are, which the cloud counts alike. */
-  double (version: EndpointVersion): void {
-    const beside = this.#hosts.map((host): ListedHost => {
+  /** Adds one endpoint of another version for each existing one; the cloud counts both versions together. */
+  addVersion (version: EndpointVersion): void {
+    const added = this.#hosts.map((host): ListedHost => {
       const id = `${host.endpoint.id}-${version}`
       return { ...host, hostId: as<HostId>(id), endpoint: { ...host.endpoint, id: as<EndpointId>(id), version } }
     })
-    for (const { failureDomain, reclaimable } of beside) {
+    for (const { failureDomain, reclaimable } of added) {
       const key = `${failureDomain}/${reclaimable}`
-      this.#wanted.set(key, this.#wanted.get(key)! + 1)
+      this.#ordered.set(key, this.#ordered.get(key)! + 1)
     }
-    this.#hosts.push(...beside)
+    this.#hosts.push(...added)
     this.table.listed(this.#hosts)
   }
 
   #boot ({ failureDomain, reclaimable }: EndpointOrder): void {
     const key = `${failureDomain}/${reclaimable}`
-    const missing = (this.#wanted.get(key) ?? 0) - this.#hosts.filter((host) => `${host.failureDomain}/${host.reclaimable}` === key).length
+    const missing = (this.#ordered.get(key) ?? 0) - this.#hosts.filter((host) => `${host.failureDomain}/${host.reclaimable}` === key).length
     for (let i = 0; i < missing; i++) {
       const id = `e${this.#number++}`
       this.#hosts.push({
@@ -152,82 +152,82 @@
   }
 }
 
-test('a fleet that starts for the first time stops the endpoints it does not need at once', async () => {
-  // Operators pay on-demand endpoints for as long as it takes to list them, though nobody can have called yet.
+test('a fleet that starts for the first time immediately stops the endpoints it does not need', async () => {
+  // Guards against paying for on-demand endpoints until they are listed, although no request can have arrived yet.
   const fleet = new Fleet(3)
   fleet.start({ firstStart: true })
   await vi.advanceTimersByTimeAsync(300)
-  expect(fleet.wanted).toBe(3 + 6)
+  expect(fleet.orderedCount).toBe(3 + 6)
   expect(fleet.serving(false)).toBe(3)
   await vi.advanceTimersByTimeAsync(BOOT_MS + 500)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('before the first work is counted there are endpoints for half of what accounts may ask for', async () => {
-  // The first callers wait for seconds or are turned away: traffic comes at once, and endpoints for what it needs are ordered once it was counted.
+test('before the first load is measured there are endpoints for half of the total quota', async () => {
+  // Guards against the first callers waiting for seconds or being rejected because endpoints are ordered only once their load was measured.
   const fleet = new Fleet(8, 12)
   fleet.allowedTokensPerS = 1_000_000
   fleet.start({ firstStart: true })
   await vi.advanceTimersByTimeAsync(2 * BOOT_MS + 1000)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 12])
-  await fleet.pass(4000, 0)
+  await fleet.advance(4000, 0)
   expect(fleet.serving(true)).toBe(12)
-  await fleet.pass(30_000, 1)
+  await fleet.advance(30_000, 1)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('what was ordered for the first work is given up if none comes', async () => {
+test('endpoints ordered for the assumed initial load are stopped if no load arrives', async () => {
   const fleet = new Fleet(3, 8)
   fleet.allowedTokensPerS = 800_000
   fleet.start({ firstStart: true })
-  await fleet.pass(75_000, 0)
+  await fleet.advance(75_000, 0)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('whoever takes the lease over stops nothing until it has counted the work', async () => {
-  // The holder of the lease dies in a burst just after a reclaim. Its successor goes by the endpoints that are left, and stops one that just came,
-  // while callers wait for room.
+test('a new lease holder stops no endpoint until it has measured the load', async () => {
+  // Guards against a successor that stops a newly booted endpoint while callers wait for capacity: the holder dies in a burst just after a reclaim,
+  // and the successor estimates the load from the remaining endpoints.
   const fleet = new Fleet(3)
   fleet.start()
-  await fleet.pass(3000, 3)
+  await fleet.advance(3000, 3)
   expect(fleet.serving(false)).toBe(9)
-  await fleet.pass(20_000, 3)
+  await fleet.advance(20_000, 3)
   expect(fleet.serving(false)).toBe(0)
 })
 
-test('a successor that kept the totals goes on where the one before ended', async () => {
-  // Operators pay on-demand endpoints for half a minute after they are needed: daemons are restarted one after the other, and each that takes the lease
-  // over begins to count the work anew.
+test('a successor that is a tally replica continues with its own measurement', async () => {
+  // Guards against paying for on-demand endpoints half a minute longer than needed: in a rolling restart every successor would start to measure the load
+  // from scratch.
   const fleet = new Fleet(3)
   fleet.lease.fencing = undefined
   fleet.start()
-  await fleet.pass(25_000, 2)
+  await fleet.advance(25_000, 2)
   expect(fleet.orders).toEqual([])
   fleet.lease.fencing = 2
-  await fleet.pass(BOOT_MS + 1000, 2)
+  await fleet.advance(BOOT_MS + 1000, 2)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('what a daemon counted before it was heard of is no work of this moment', async () => {
+test('totals that a newly known daemon counted earlier are not current load', async () => {
   const fleet = new Fleet(1)
   fleet.start()
-  await fleet.pass(25_000, 1)
+  await fleet.advance(25_000, 1)
   fleet.tally.receive({ daemon: as<DaemonId>('other'), entries: [[`demand/${POOL}`, 50_000_000]] })
-  await fleet.pass(3000, 1)
-  expect(fleet.wanted).toBe(6)
+  await fleet.advance(3000, 1)
+  expect(fleet.orderedCount).toBe(6)
 })
 
-test('through waves of reclaims enough endpoints serve, from the first notice to the last', async () => {
-  // Seconds of late answers after each reclaim, and once more when reclaimable endpoints are to be had again: on-demand ones were ordered too late,
-  // and stopped while those that followed them still booted.
+test('enough endpoints serve throughout a series of reclaims', async () => {
+  // Guards against seconds of late answers after each reclaim and when reclaimable endpoints become available again: on-demand endpoints were ordered
+  // too late, and stopped while their replacements were still booting.
   const fleet = new Fleet(1)
   fleet.start()
-  await fleet.pass(30_000, 2.4)
-  const least: number[] = []
+  await fleet.advance(30_000, 2.4)
+  const serving: number[] = []
   const watch = async (ms: number) => {
     for (let i = 0; i < ms / 250; i++) {
-      await fleet.pass(250, 2.4)
-      least.push(fleet.serving(true) + fleet.serving(false))
+      await fleet.advance(250, 2.4)
+      serving.push(fleet.serving(true) + fleet.serving(false))
     }
   }
   for (const domain of DOMAINS) {
@@ -235,39 +235,39 @@
     await watch(6000)
   }
   await watch(8000)
-  fleet.dry.clear()
+  fleet.exhausted.clear()
   await watch(20_000)
-  // Work of 2.4 engines piles up with fewer than three.
-  expect(Math.min(...least)).toBeGreaterThanOrEqual(3)
+  // A load of 2.4 engines builds up a queue with fewer than three.
+  expect(Math.min(...serving)).toBeGreaterThanOrEqual(3)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('work that fills batch slots gets endpoints by those, though little of it is reading', async () => {
-  // Guards against counting only the time that prompts take to be read, where batch slots are what runs out.
+test('load that occupies batch slots is scaled by slots even with little prefill', async () => {
+  // Guards against measuring only prefill time when batch slots are the scarce resource.
   const fleet = new Fleet(1, 24)
   fleet.slots = 12
   fleet.running = 96
   fleet.start()
-  await fleet.pass(40_000, 2)
+  await fleet.advance(40_000, 2)
   const held = fleet.serving(true) + fleet.serving(false)
   const largest = Math.max(...DOMAINS.map((domain) => fleet.table.all.filter((view) => view.failureDomain === domain).length))
-  // What a reclaim leaves bears the work and a burst of a third more.
+  // The endpoints left after a reclaim can serve the load and a burst of a third.
   expect((held - largest) * fleet.slots).toBeGreaterThan(fleet.running * 4 / 3)
   fleet.running = 12
-  await fleet.pass(40_000, 0.5)
+  await fleet.advance(40_000, 0.5)
   expect([fleet.serving(false), fleet.serving(true)]).toEqual([0, 6])
 })
 
-test('a second reclaim, seconds after the first, leaves work its batch slots', async () => {
-  // Guards against ordering nothing after a reclaim because what the next one would leave has a slot for each request, and none to spare.
+test('batch slots still suffice after a second reclaim seconds after the first', async () => {
+  // Guards against ordering nothing after a reclaim because the endpoints left after the next one would have exactly one slot per request.
   const fleet = new Fleet(1, 24)
   fleet.slots = 12
   fleet.running = 96
   fleet.start()
-  await fleet.pass(40_000, 2)
+  await fleet.advance(40_000, 2)
   for (const domain of DOMAINS.slice(0, 2)) {
     fleet.reclaim(domain)
-    await fleet.pass(6000, 2)
+    await fleet.advance(6000, 2)
   }
   const served = fleet.serving(true) + fleet.serving(false)
   fleet.reclaim(DOMAINS[2]!)
@@ -276,69 +276,69 @@
   expect(left * fleet.slots * 0.75).toBeGreaterThan(fleet.running)
 })
 
-test('in an outage of the store the last holder still orders what a wave of reclaims takes away', async () => {
-  // Nobody answers callers for seconds: the store is down while one domain after the other is reclaimed, the lease cannot be renewed, and nothing is ordered
-  // until the store is back.
+test('during a store outage the last holder still replaces reclaimed endpoints', async () => {
+  // Guards against seconds without service: the store is down while one failure domain after the other is reclaimed, the lease cannot be renewed, and nothing
+  // is ordered until the store is back.
   const fleet = new Fleet(1)
   fleet.start()
-  await fleet.pass(30_000, 2.4)
+  await fleet.advance(30_000, 2.4)
   fleet.lease.fencing = undefined
   fleet.lease.fencingInOutage = 1
   for (const domain of DOMAINS.slice(0, 2)) {
     fleet.reclaim(domain)
-    await fleet.pass(6000, 2.4)
+    await fleet.advance(6000, 2.4)
   }
   expect(fleet.serving(false)).toBeGreaterThanOrEqual(3)
   expect(fleet.serving(true)).toBe(2)
   const before = fleet.orders.length
   fleet.lease.endOutageGrace()
   fleet.reclaim(DOMAINS[2]!)
-  await fleet.pass(3000, 2.4)
+  await fleet.advance(3000, 2.4)
   expect(fleet.orders.slice(before)).toEqual([])
 })
 
-test('an order that tells nothing of what is to be had is not taken for news', async () => {
-  // Orders go to and fro every two seconds: a count that is there already is taken, so that more are ordered elsewhere, and refused.
+test('an order that reveals nothing about availability does not change it', async () => {
+  // Guards against orders that alternate every two seconds: an already satisfied count is accepted, so that more are ordered elsewhere and refused.
   const fleet = new Fleet(1)
   fleet.start()
-  await fleet.pass(30_000, 1)
+  await fleet.advance(30_000, 1)
   fleet.reclaim(DOMAINS[0]!)
-  await fleet.pass(2000, 1)
+  await fleet.advance(2000, 1)
   const before = fleet.orders.length
-  await fleet.pass(10_000, 1)
+  await fleet.advance(10_000, 1)
   expect(fleet.orders.slice(before)).toEqual([])
 })
 
-test('an order that got no answer says nothing of what is to be had', async () => {
-  // Endpoints that just boot after a reclaim are ordered away and ordered again, while callers wait for them: an order for reclaimable ones was
-  // refused, the next got no answer, and that was taken for "there are some again".
+test('an unanswered order does not change availability', async () => {
+  // Guards against booting replacements that are stopped and ordered again while callers wait: an order for reclaimable endpoints was refused, the
+  // next got no answer, and that was taken as a sign of availability.
   const fleet = new Fleet(1)
   fleet.start()
-  await fleet.pass(30_000, 2.4)
+  await fleet.advance(30_000, 2.4)
   for (const domain of DOMAINS.slice(0, 2)) fleet.reclaim(domain)
-  await fleet.pass(1000, 2.4)
+  await fleet.advance(1000, 2.4)
   const onDemand = () => DOMAINS.map((domain) => fleet.orders.filter(({ failureDomain, reclaimable }) => !reclaimable && failureDomain === domain).map(({ count }) => count))
   const before = onDemand().map((counts) => counts.length - 1)
-  fleet.silent = true
-  await fleet.pass(2200, 2.4)
-  fleet.silent = false
-  await fleet.pass(500, 2.4)
+  fleet.unanswered = true
+  await fleet.advance(2200, 2.4)
+  fleet.unanswered = false
+  await fleet.advance(500, 2.4)
   for (const [i, counts] of onDemand().entries()) expect(counts.slice(before[i]!)).toEqual([...counts.slice(before[i]!)].sort())
 })
 
-test('while a version is rolled out no endpoint is given up, and those on trial carry nothing', async () => {
-  // Guards against orders that have the cloud stop endpoints of either version in the middle of a roll-out.
+test('during a roll-out no endpoint is stopped and canary endpoints do not count as capacity', async () => {
+  // Guards against orders that make the cloud stop endpoints of either version during a roll-out.
   const fleet = new Fleet(1, 12)
   fleet.start({ versions: { carries: () => FIRST_VERSION, isRolling: () => true } })
-  await fleet.pass(20_000, 2)
+  await fleet.advance(20_000, 2)
   const before = fleet.serving(true)
-  const lowered = fleet.orders.length
-  fleet.double(as<EndpointVersion>('v2'))
-  await fleet.pass(20_000, 2)
+  const ordersBefore = fleet.orders.length
+  fleet.addVersion(as<EndpointVersion>('v2'))
+  await fleet.advance(20_000, 2)
   expect(fleet.serving(true)).toBeGreaterThanOrEqual(2 * before)
-  expect(fleet.orders.slice(lowered).filter(({ reclaimable, count }) => reclaimable && count < 2)).toEqual([])
+  expect(fleet.orders.slice(ordersBefore).filter(({ reclaimable, count }) => reclaimable && count < 2)).toEqual([])
   const orders = fleet.orders.length
-  await fleet.pass(10_000, 4)
+  await fleet.advance(10_000, 4)
   expect(fleet.orders.slice(orders).length).toBeGreaterThan(0)
   expect(fleet.serving(true)).toBeGreaterThan(2 * before)
 })
--- a/daemon/duties/usage_task_test.ts
+++ b/daemon/duties/usage_task_test.ts
@@ -9,22 +9,22 @@
 import { UsageTask } from './usage_task.ts'
 
 const WINDOW_MS = 5000
-const DUE_MS = 10_000
+const REPORT_DEADLINE_MS = 10_000
 const COUNCIL = as<AccountId>('council')
 const WINDOW = 7
 
-/** A daemon that counted some requests in a window, and believes to hold the lease. */
-function holder (name: string, counted: number, ports: { store: ObjectStore, duties: Duties, fencing: () => number | undefined, wallMs?: number }): UsageTask {
-  const wallMs = ports.wallMs ?? (WINDOW + 1) * WINDOW_MS + DUE_MS / 2
+/** A daemon that counted some requests in a window and believes it holds the lease. */
+function startHolder (name: string, counted: number, ports: { store: ObjectStore, duties: Duties, fencing: () => number | undefined, wallMs?: number }): UsageTask {
+  const wallMs = ports.wallMs ?? (WINDOW + 1) * WINDOW_MS + REPORT_DEADLINE_MS / 2
   const tallies = { tally: new Tally(as<DaemonId>(name)), clock: new SharedClock({ wallMs, steadyMs: performance.now() }) }
-  const task = new UsageTask({ name, store: ports.store, duties: ports.duties, lease: { get fencing () { return ports.fencing() } }, tallies, windowMs: WINDOW_MS, dueMs: DUE_MS })
+  const task = new UsageTask({ name, store: ports.store, duties: ports.duties, lease: { get fencing () { return ports.fencing() } }, tallies, windowMs: WINDOW_MS, dueMs: REPORT_DEADLINE_MS })
   const agoMs = wallMs - WINDOW * WINDOW_MS - 100
   for (let i = 0; i < counted; i++) task.began(COUNCIL, agoMs)
   return task
 }
 
-/** Takes reports as the platform does: a lower fencing number than was seen is refused. */
-class Reports implements Duties {
+/** Accepts reports like the platform: rejects fencing numbers lower than the highest seen. */
+class FencedReceiver implements Duties {
   readonly accepted: Array<UsageReport & { fencing: number }> = []
   #highest = 0
 
@@ -36,7 +36,7 @@
     this.accepted.push({ ...report, fencing: by.fencing })
   }
 
-  /** Windows that were reported with two different counts. */
+  /** Number of windows that were reported with different counts. */
   get contradictions (): number {
     const counts = new Map<number, Set<string>>()
     for (const { window, counts: each } of this.accepted) counts.set(window, (counts.get(window) ?? new Set()).add(JSON.stringify(each)))
@@ -44,51 +44,51 @@
   }
 }
 
-test('a window is reported once it has settled, with what all counted in it', async () => {
-  const [store, duties] = [new StandInStore(), new Reports()]
-  const early = holder('a', 3, { store, duties, fencing: () => 1, wallMs: (WINDOW + 1) * WINDOW_MS + 100 })
+test('a window is reported once, after its counts have settled', async () => {
+  const [store, duties] = [new StandInStore(), new FencedReceiver()]
+  const early = startHolder('a', 3, { store, duties, fencing: () => 1, wallMs: (WINDOW + 1) * WINDOW_MS + 100 })
   await early.round()
   expect(duties.accepted.map(({ window }) => window)).not.toContain(WINDOW)
-  const task = holder('a', 3, { store, duties, fencing: () => 1 })
+  const task = startHolder('a', 3, { store, duties, fencing: () => 1 })
   await task.round()
   expect(duties.accepted.filter(({ window }) => window === WINDOW)).toEqual([{ window: WINDOW, counts: { council: 3 }, fencing: 1 }])
   await task.round()
   expect(duties.accepted.filter(({ window }) => window === WINDOW)).toHaveLength(1)
 })
 
-test('a successor sends what was written, whatever it counted itself', async () => {
-  // A holder dies between writing a report and sending it, or just after; its successor counted one request less.
-  const [store, duties] = [new StandInStore(), new Reports()]
-  await holder('a', 3, { store, duties, fencing: () => 1 }).round()
-  await holder('b', 2, { store, duties, fencing: () => 2 }).round()
+test('a successor sends the stored report regardless of its own counts', async () => {
+  // Guards against conflicting reports when a holder dies after writing one, before or after sending it, and its successor counted one request fewer.
+  const [store, duties] = [new StandInStore(), new FencedReceiver()]
+  await startHolder('a', 3, { store, duties, fencing: () => 1 }).round()
+  await startHolder('b', 2, { store, duties, fencing: () => 2 }).round()
   expect(duties.accepted.filter(({ window }) => window === WINDOW).map(({ counts }) => counts)).toEqual([{ council: 3 }, { council: 3 }])
 })
 
-test('a daemon that cannot write sends nothing, and one whose lease ran out while it wrote neither', async () => {
-  const [store, duties] = [new StandInStore(), new Reports()]
+test('no report is sent when the write fails or the lease expires during it', async () => {
+  const [store, duties] = [new StandInStore(), new FencedReceiver()]
   store.faults.down = true
-  const task = holder('a', 3, { store, duties, fencing: () => 1 })
+  const task = startHolder('a', 3, { store, duties, fencing: () => 1 })
   await task.round()
   store.faults.down = false
   let held = true
-  const paused = holder('b', 2, { store, duties, fencing: () => (held ? 1 : undefined) })
+  const paused = startHolder('b', 2, { store, duties, fencing: () => (held ? 1 : undefined) })
   const round = paused.round()
   held = false
   await round
   expect(duties.accepted).toEqual([])
 })
 
-/** What may become of one call, as the schedule chooses. */
-const FATES = ['done', 'lost', 'late', 'refused'] as const
-type Fate = typeof FATES[number]
-interface Pending { decide (fate: Fate): void }
+/** Possible outcomes of a call, chosen by the schedule. */
+const OUTCOMES = ['done', 'lost', 'late', 'refused'] as const
+type Outcome = typeof OUTCOMES[number]
+interface Pending { decide (outcome: Outcome): void }
 
-/** Chooses at each turn which call is next and what becomes of it; visits every sequence of choices once. */
+/** Enumerates schedules: chooses at each step the next call and its outcome, and visits every sequence of choices exactly once. */
 class Explorer {
   #path: Array<{ choice: number, of: number }> = []
   #at = 0
 
-  /** Runs until every schedule was played; returns how many. */
+  /** Runs every schedule and returns their number. */
   async all (play: (choose: (of: number) => number) => Promise<void>): Promise<number> {
     let runs = 0
     do {
@@ -119,19 +119,19 @@
   }
 }
 
-/** A store whose every call waits until the schedule takes it up. */
+/** A store in which every call waits until the schedule decides its outcome. */
 function scheduledStore (inner: StandInStore, pending: Pending[]): ObjectStore {
   const call = <T>(run: () => Promise<T>, writes: boolean): Promise<T> => new Promise((resolve, reject) => {
     const refused = () => reject(new StoreError('Cannot call: refused', { failure: 'not-applied' }))
     const unsure = () => reject(new StoreError('Cannot call: no answer', { failure: 'unsure' }))
     pending.push({
-      decide: (fate) => {
-        if (fate === 'done') run().then(resolve, reject)
-        else if (fate === 'refused') refused()
+      decide: (outcome) => {
+        if (outcome === 'done') run().then(resolve, reject)
+        else if (outcome === 'refused') refused()
         else if (!writes) unsure()
-        else if (fate === 'lost') run().then(unsure, unsure)
+        else if (outcome === 'lost') run().then(unsure, unsure)
         else {
-          pending.push({ decide: () => { run().catch(() => { /* its condition no longer holds */ }) } })
+          pending.push({ decide: () => { run().catch(() => { /* version conflict */ }) } })
           unsure()
         }
       }
@@ -144,32 +144,32 @@
   } as ObjectStore
 }
 
-async function settle (): Promise<void> {
+async function flushMicrotasks (): Promise<void> {
   for (let i = 0; i < 12; i++) await Promise.resolve()
 }
 
-/** Longest schedule, in calls, and most of them that go wrong. */
-const DEPTH = 14
-const MOST_FAULTS = 2
+/** Limits of a schedule: its length in calls and the number of calls that fail. */
+const MAX_CALLS = 14
+const MAX_FAULTS = 2
 
-/** Two daemons that both believe to hold the lease report the same window; every order of their calls, and every fate of them. */
-async function explore (round: (task: UsageTask, ports: { duties: Reports, fencing: number }) => Promise<void>): Promise<{ runs: number, contradictions: number, reported: number }> {
+/** Explores every order and outcome of the calls of two daemons that both believe they hold the lease and report the same window. */
+async function explore (round: (task: UsageTask, ports: { duties: FencedReceiver, fencing: number }) => Promise<void>): Promise<{ runs: number, contradictions: number, reported: number }> {
   let contradictions = 0
   let reported = 0
   const runs = await new Explorer().all(async (choose) => {
     const pending: Pending[] = []
-    const duties = new Reports()
+    const duties = new FencedReceiver()
     const store = scheduledStore(new StandInStore(), pending)
-    const tasks = [holder('a', 3, { store, duties, fencing: () => 1 }), holder('b', 2, { store, duties, fencing: () => 2 })]
+    const tasks = [startHolder('a', 3, { store, duties, fencing: () => 1 }), startHolder('b', 2, { store, duties, fencing: () => 2 })]
     tasks.forEach((task, i) => { round(task, { duties, fencing: i + 1 }) })
-    await settle()
+    await flushMicrotasks()
     let faults = 0
-    for (let depth = 0; pending.length > 0 && depth < DEPTH; depth++) {
+    for (let depth = 0; pending.length > 0 && depth < MAX_CALLS; depth++) {
       const next = pending.splice(choose(pending.length), 1)[0]!
-      const fate = faults < MOST_FAULTS ? FATES[choose(FATES.length)]! : 'done'
-      if (fate !== 'done') faults++
-      next.decide(fate)
-      await settle()
+      const outcome = faults < MAX_FAULTS ? OUTCOMES[choose(OUTCOMES.length)]! : 'done'
+      if (outcome !== 'done') faults++
+      next.decide(outcome)
+      await flushMicrotasks()
     }
     if (duties.contradictions > 0) contradictions++
     if (duties.accepted.some(({ window }) => window === WINDOW)) reported++
@@ -177,8 +177,8 @@
   return { runs, contradictions, reported }
 }
 
-test('in every order of the calls of two holders, with answers lost, writes done late and calls refused, a window has one report', async () => {
-  // A round that failed is followed by another, as the timer would.
+test('two holders report a window consistently in every order of their calls, with lost answers, late writes and refused calls', async () => {
+  // A failed round is followed by another, as with the timer.
   const { runs, contradictions, reported } = await explore(async (task) => {
     await task.round()
     await task.round()
@@ -188,17 +188,17 @@
   expect(reported).toBeGreaterThan(runs / 2)
 }, 60_000)
 
-test('the same search finds the fault of holders that send what they counted', async () => {
+test('the same search finds the conflict of holders that send their own counts', async () => {
   const { contradictions } = await explore(async (_task, { duties, fencing }) => {
     await duties.report({ window: WINDOW, counts: { [COUNCIL]: fencing === 1 ? 3 : 2 } as Record<AccountId, number> }, { fencing })
   })
   expect(contradictions).toBeGreaterThan(0)
 })
 
-test('the same search finds the fault of a holder that sends before its write is certain', async () => {
+test('the same search finds the conflict of a holder that sends before its write is confirmed', async () => {
   const { contradictions } = await explore(async (task, { duties, fencing }) => {
     const counts = { [COUNCIL]: fencing === 1 ? 3 : 2 } as Record<AccountId, number>
-    const sent = duties.report({ window: WINDOW, counts }, { fencing }).catch(() => { /* refused: the other one is ahead */ })
+    const sent = duties.report({ window: WINDOW, counts }, { fencing }).catch(() => { /* rejected: the other holder's fencing number is higher */ })
     await Promise.all([task.round(), sent])
   })
   expect(contradictions).toBeGreaterThan(0)
