--- a/daemon/fleet/lease_task_test.ts
+++ b/daemon/fleet/lease_task_test.ts
@@ -55,7 +55,7 @@
 }
 
 test('waiting contenders read the lease only when announcements of its holder are missing', async () => {
-  // Every read is a paid store call: two waiting contenders made a fifth of all calls of a fleet of 19.
+  // Every read counts as a store call: two waiting contenders made a fifth of all calls of a fleet of 19.
   const store = new StandInStore()
   const channel = new AnnouncementChannel()
   const [a, b] = ['a', 'b', 'c'].map((name) => lease(store, name, { peers: channel.of(name) })) as [LeaseTask, LeaseTask]
--- a/daemon/peers/peer_links_test.ts
+++ b/daemon/peers/peer_links_test.ts
@@ -52,7 +52,7 @@
 })
 
 test('messages sent in one event loop turn share one frame, in order', async () => {
-  // Guards against one frame per short message: in a large fleet, packing, writing and reading those took a third of an idle daemon's processor time.
+  // Guards against one frame per short message: a daemon of a large fleet spent a third of its idle time on packing, writing and reading those.
   const [a, b] = [await start('a'), await start('b')]
   const heard: unknown[] = []
   for (const topic of ['vote', 'load']) b.links.onPost(topic, (value: unknown) => { heard.push(value) })
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -25,7 +25,7 @@
 
 /** Long-poll request for the changes of a prefix after a version. */
 interface ChangesRequest { prefix: string, after: number, waitMs: number }
-/** `ageMs`: time since the store itself last answered, through whichever daemons, in milliseconds. */
+/** `ageMs`: time since the store itself last answered, directly or through other daemons, in milliseconds. */
 interface ChangesResponse extends Changes { ageMs: number }
 
 /**
