--- a/daemon/rollout/rollout_follower.ts
+++ b/daemon/rollout/rollout_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the orders for roll-outs, from the store and from the other daemons. */
+/** Follows rollout orders in the store and in facts gossiped by the other daemons. */
 import { problemsOf } from '../../core/config/validate.ts'
 import { as, type PoolName } from '../../core/ids/index.ts'
 import type { Fact } from '../../core/membership/index.ts'
@@ -16,40 +16,44 @@
   port: Pick<RolloutPort, 'prefix' | 'decode'>
   membership: Pick<MembershipTask, 'tell' | 'onFact'>
   random: Random
-  /** Longest wait of a watch, in milliseconds. */
+  /** Long-poll timeout of a store watch, in milliseconds. */
   waitMs: number
 }
 
-/** Called with a pool whose order or progress has changed. */
+/** Called with the pool whose order, progress or hold has changed. */
 export type RolloutListener = (pool: PoolName) => void
 
-const FACT_PREFIX = 'rollout/'
-const HOLD_PREFIX = 'rollout-hold/'
+const RECORD_FACT_PREFIX = 'rollout/'
+const HOLD_FACT_PREFIX = 'rollout-hold/'
 
-/** Follows the orders. What the decider wrote also comes as a fact: sooner, and to daemons that the store turns away. */
+/**
+ * Follows rollout orders.
+ *
+ * Progress that the lease holder writes is also gossiped as a fact: it arrives sooner than by the store watch, and reaches daemons that cannot use the store.
+ */
 export class RolloutFollower {
   readonly #options: RolloutFollowerOptions
   readonly #follower: StoreFollower
   readonly #records = new Map<PoolName, RolloutRecord>()
   readonly #listeners: RolloutListener[] = []
-  /** When each pool's present order was first seen, in milliseconds on the steady clock. */
-  readonly #orderedAtMs = new Map<PoolName, number>()
-  /** Orders whose new version was found to be worse while the store was away. */
-  readonly #held = new Set<string>()
-  /** Versions of objects that are no orders. */
-  readonly #refused = new Map<string, number>()
+  /** When each pool's current order was first seen, in milliseconds on the steady clock. */
+  readonly #orderSeenAtMs = new Map<PoolName, number>()
+  /** Ids of orders whose new version compared worse during a store outage. */
+  readonly #heldOrders = new Set<string>()
+  /** Version of each stored object that failed to decode, by key; it is not decoded or logged again. */
+  readonly #undecodable = new Map<string, number>()
 
   constructor (options: RolloutFollowerOptions) {
     this.#options = options
-    options.membership.onFact((fact) => this.#told(fact))
+    options.membership.onFact((fact) => this.#onFact(fact))
     this.#follower = new StoreFollower({
       store: options.store,
       prefix: options.port.prefix,
       random: options.random,
       waitMs: options.waitMs,
       onChange: (objects, { version }) => {
-        for (const object of objects.values()) this.#read(object)
-        this.#keepOnly(objects, version)
+        for (const object of objects.values()) this.#decode(object)
+        this.#removeDeleted(objects, version)
       },
       onReach: (reached, why) => {
         if (reached) log('store-back', { what: 'rollouts' })
@@ -58,57 +62,57 @@
     })
   }
 
-  /** Orders by pool. */
+  /** Latest record of each pool. */
   get records (): ReadonlyMap<PoolName, RolloutRecord> { return this.#records }
 
-  /** When a pool's present order was first seen, in milliseconds on the steady clock. */
-  orderedAtMs (pool: PoolName): number {
-    return this.#orderedAtMs.get(pool) ?? steadyNow()
+  /** When a pool's current order was first seen, in milliseconds on the steady clock. */
+  orderSeenAtMs (pool: PoolName): number {
+    return this.#orderSeenAtMs.get(pool) ?? steadyNow()
   }
 
-  /** Registers a listener. */
+  /** Adds a listener for changes. */
   onChange (listener: RolloutListener): void {
     this.#listeners.push(listener)
   }
 
-  /** Begins to follow. */
+  /** Starts following the store. */
   start (): void {
     this.#follower.start()
   }
 
-  /** Stops. */
+  /** Stops following the store. */
   stop (): void {
     this.#follower.stop()
   }
 
-  /** Takes in what this daemon read or wrote itself, and tells the others. */
-  learn (record: RolloutRecord): void {
-    this.#take(record)
-    this.#options.membership.tell({ key: FACT_PREFIX + record.order.pool, version: record.version, value: record })
+  /** Applies a record that this daemon read or wrote itself, and gossips it to the others. */
+  publish (record: RolloutRecord): void {
+    this.#apply(record)
+    this.#options.membership.tell({ key: RECORD_FACT_PREFIX + record.order.pool, version: record.version, value: record })
   }
 
-  /** True where the new version was found to be worse, and the store did not take the verdict. */
+  /** Whether a pool's new version compared worse while the verdict could not be stored. */
   isHeld (pool: PoolName): boolean {
     const progress = this.#progress(pool)
-    return progress !== undefined && this.#held.has(orderId(progress))
+    return progress !== undefined && this.#heldOrders.has(orderId(progress))
   }
 
   /**
-   * Has no daemon use the new version of an order any more.
+   * Stops every daemon from sending work to an order's new version.
    *
-   * In an outage of the store no stage can be written; callers of a version that fails would wait for its end.
+   * During a store outage the rolled-back stage cannot be written. Without a hold, requests would go to the failing version until the store is back.
    */
   hold (progress: RolloutProgress): void {
     const id = orderId(progress)
-    if (this.#held.has(id)) return
-    this.#hold(progress.order.pool, id)
-    this.#options.membership.tell({ key: HOLD_PREFIX + progress.order.pool, version: progress.orderedAtMs, value: id })
+    if (this.#heldOrders.has(id)) return
+    this.#applyHold(progress.order.pool, id)
+    this.#options.membership.tell({ key: HOLD_FACT_PREFIX + progress.order.pool, version: progress.orderedAtMs, value: id })
   }
 
-  #hold (pool: PoolName, id: string): void {
-    this.#held.add(id)
+  #applyHold (pool: PoolName, id: string): void {
+    this.#heldOrders.add(id)
     log('rollout-held', { pool, order: id })
-    this.#changed(pool)
+    this.#notify(pool)
   }
 
   #progress (pool: PoolName): RolloutProgress | undefined {
@@ -116,46 +120,46 @@
     return record && progressOf(record)
   }
 
-  /** An order that is gone ends its roll-out, wherever it was: nobody asks for the new version any more. */
-  #keepOnly (objects: ReadonlyMap<string, StoredObject>, version: number): void {
+  /** Ends the rollout of each order that was deleted from the store, at whatever stage: its new version is no longer wanted. */
+  #removeDeleted (objects: ReadonlyMap<string, StoredObject>, version: number): void {
     for (const [pool, record] of this.#records) {
       if (record.version > version || objects.has(this.#options.port.prefix + pool)) continue
       this.#records.delete(pool)
       log('rollout-stage', { pool, to: record.order.to, from: progressOf(record)?.from, stage: 'taken-back', why: 'the order is gone', granted: progressOf(record)?.granted ?? 0 })
-      this.#changed(pool)
+      this.#notify(pool)
     }
   }
 
-  #told ({ key, value }: Fact): void {
-    if (key.startsWith(FACT_PREFIX)) this.#take(value as RolloutRecord)
-    else if (key.startsWith(HOLD_PREFIX)) this.#hold(as<PoolName>(key.slice(HOLD_PREFIX.length)), value as string)
+  #onFact ({ key, value }: Fact): void {
+    if (key.startsWith(RECORD_FACT_PREFIX)) this.#apply(value as RolloutRecord)
+    else if (key.startsWith(HOLD_FACT_PREFIX)) this.#applyHold(as<PoolName>(key.slice(HOLD_FACT_PREFIX.length)), value as string)
   }
 
-  #read (object: StoredObject): void {
-    if (this.#refused.get(object.key) === object.version) return
+  #decode (object: StoredObject): void {
+    if (this.#undecodable.get(object.key) === object.version) return
     try {
-      this.#take(this.#options.port.decode(object))
+      this.#apply(this.#options.port.decode(object))
     } catch (err) {
-      this.#refused.set(object.key, object.version)
+      this.#undecodable.set(object.key, object.version)
       log('rollout-refused', { order: object.key, problems: problemsOf(err) })
     }
   }
 
-  #take (record: RolloutRecord): void {
+  #apply (record: RolloutRecord): void {
     const { pool } = record.order
     const known = this.#records.get(pool)
     if (known && known.version >= record.version) return
     this.#records.set(pool, record)
-    if (!known || !isSameOrder(known.order, record.order)) this.#orderedAtMs.set(pool, steadyNow())
+    if (!known || !isSameOrder(known.order, record.order)) this.#orderSeenAtMs.set(pool, steadyNow())
     const progress = progressOf(record)
     const stage = progress?.stage ?? 'ordered'
     if (stage !== (known && (progressOf(known)?.stage ?? 'ordered'))) {
       log('rollout-stage', { pool, to: record.order.to, from: progress?.from, stage, why: progress?.why ?? 'an operator ordered it', granted: progress?.granted ?? 0 })
     }
-    this.#changed(pool)
+    this.#notify(pool)
   }
 
-  #changed (pool: PoolName): void {
+  #notify (pool: PoolName): void {
     for (const listener of this.#listeners) listener(pool)
   }
 }
--- a/daemon/rollout/rollout_port.ts
+++ b/daemon/rollout/rollout_port.ts
@@ -1,25 +1,25 @@
-/** Orders for roll-outs as a platform keeps them. */
+/** Storage of rollout orders, as a platform implements it. */
 import type { RolloutProgress, RolloutRecord } from '../../core/rollout/index.ts'
 import type { StoredObject } from '../../store/index.ts'
 
-/** Reads orders, and writes what becomes of them beside. */
+/** Reads rollout orders and writes their progress alongside. */
 export interface RolloutPort {
-  /** Prefix of the orders' keys. */
+  /** Key prefix of the orders. */
   prefix: string
   /**
-   * Reads an order and what the store says of it.
-   * @throws {InvalidError} When it is no order.
+   * Decodes an order and its stored progress.
+   * @throws {InvalidError} When the object is not a valid order.
    */
   decode (object: StoredObject): RolloutRecord
   /**
-   * Reads one order anew.
+   * Reads one order again from the store.
    * @throws {StoreError}
    */
   read (record: RolloutRecord): Promise<RolloutRecord | undefined>
   /**
-   * Writes progress beside an order that is as it was read.
-   * @returns The record as it is then.
-   * @throws {StoreError} `conflict` where the order or its progress has changed since.
+   * Writes the progress of an order, provided that neither has changed since the record was read.
+   * @returns The record as stored.
+   * @throws {StoreError} `conflict` when the order or its progress has changed since.
    */
   write (record: RolloutRecord, progress: RolloutProgress): Promise<RolloutRecord>
 }
--- a/daemon/rollout/rollout_task.ts
+++ b/daemon/rollout/rollout_task.ts
@@ -1,4 +1,4 @@
-/** Carries roll-outs through their stages, on whichever daemon holds the lease. */
+/** Moves rollouts through their stages, on the daemon that holds the lease. */
 import { as, type DaemonId, type EndpointId, type EndpointVersion, type PoolName } from '../../core/ids/index.ts'
 import {
   addAnswers, AnswerHistory, answersPrefix, ASKED, classAnswers, compareVersions, endpointsFor, GRANT_EVERY_MS, GRANT_MS, GrantLedger, groupAnswers, isFinal, nextPortion, nextProgress, orderId, progressOf, readAnswerKey, shareOut,
@@ -14,240 +14,240 @@
 import type { TallyTask } from '../peers/tally_task.ts'
 import type { RolloutFollower } from './rollout_follower.ts'
 import type { RolloutPort } from './rollout_port.ts'
-import { GRANT, GRANT_USED, type ToldGrant, type UsedGrant, type VersionGate } from './version_gate.ts'
+import { GRANT_TOPIC, GRANT_USED_TOPIC, type GrantMessage, type GrantUsedMessage, type VersionGate } from './version_gate.ts'
 
 /** Options of {@linkcode RolloutTask}. */
 export interface RolloutTaskOptions {
   self: DaemonId
   port: Pick<RolloutPort, 'read' | 'write'>
-  rollouts: Pick<RolloutFollower, 'records' | 'learn' | 'orderedAtMs' | 'hold' | 'onChange'>
-  gate: Pick<VersionGate, 'carries' | 'take' | 'onUsed'>
+  rollouts: Pick<RolloutFollower, 'records' | 'publish' | 'orderSeenAtMs' | 'hold' | 'onChange'>
+  gate: Pick<VersionGate, 'carries' | 'acceptGrant' | 'onGrantUsed'>
   lease: Pick<LeaseTask, 'fencing' | 'fencingInOutage'>
   table: EndpointTable
   tallies: Pick<TallyTask, 'tally' | 'clock'>
   links: Pick<Links, 'post' | 'onPost'>
   exposure: ExposureLimit
-  /** Time after a change in which every daemon hears of it, in milliseconds. */
+  /** Time within which every daemon learns of a change, in milliseconds. */
   newsMs: number
   random: Random
 }
 
-/** What the decider keeps of one order while it holds the lease. */
-interface Trial {
+/** In-memory state of one order on the lease holder. */
+interface CanaryState {
   order: string
   ledger: GrantLedger
-  /** Requests that this decider has written that it may grant, those granted before it included. */
-  written: number
+  /** Total of canary requests that this daemon has recorded in the store as granted, including those of earlier lease holders. */
+  persistedGrants: number
   history: AnswerHistory
-  grantedAtMs: number
-  /** Endpoints of the new version that had a portion of the load, by how many they had. */
-  turns: Map<EndpointId, number>
-  /** Since when nothing runs at the old version. */
-  emptySinceMs: number | undefined
+  lastGrantAtMs: number
+  /** How often each endpoint of the new version was chosen to serve a grant. */
+  timesChosen: Map<EndpointId, number>
+  /** Since when the old version has run no request, in milliseconds on the steady clock. */
+  oldIdleSinceMs: number | undefined
 }
 
-const ROUND_MS = 100
-/** Granted in the store beyond what is granted to daemons, so that not every grant costs a write. */
-const WRITE_AHEAD = 40
-/** Reports of work come this often at the latest; nothing must have run for several of them, in milliseconds. */
-const EMPTY_FOR_MS = 700
-/** Word of others' work that is older does not tell that nothing runs, in milliseconds. */
-const LOADS_FRESH_MS = 1000
-/** A pool without endpoints for so long has none, in milliseconds; one that is not listed yet shows by then. */
-const NO_ENDPOINTS_MS = 2000
+const ROUND_INTERVAL_MS = 100
+/** Requests recorded in the store as granted ahead of the grants themselves, so that not every grant costs a store write. */
+const GRANT_WRITE_AHEAD = 40
+/** The old version counts as idle after this long without a running request, in milliseconds; spans several load reports. */
+const OLD_VERSION_IDLE_MS = 700
+/** Load reports of other daemons that are older than this do not prove that the old version is idle, in milliseconds. */
+const MAX_LOAD_REPORT_AGE_MS = 1000
+/** A pool that lists no endpoint for this long has none, in milliseconds; the first endpoint list arrives sooner. */
+const NO_ENDPOINTS_GRACE_MS = 2000
 const NO_VERSION = as<EndpointVersion>('')
 const MS_PER_S = 1000
 
 /**
- * Decides for the whole fleet.
+ * Decides on rollouts for the whole fleet.
  *
- * State is in the store, beside the order, and each write names the version that it replaces: a decider that was frozen, or cut off, finds out when it writes. What it granted before is
- * written first. What the next one counts answers by, three daemons keep.
+ * Progress is stored beside the order, and each write is conditional on the version that it replaces, so a lease holder that was paused or partitioned detects this when it
+ * writes. Grants are recorded in the store before they are sent. The answer counts that a successor needs are replicated on three daemons.
  */
 export class RolloutTask {
   readonly #options: RolloutTaskOptions
-  readonly #trials = new Map<PoolName, Trial>()
-  readonly #keys = new Map<string, AnswerKey>()
-  readonly #writing = new Set<PoolName>()
+  readonly #canaryStates = new Map<PoolName, CanaryState>()
+  readonly #parsedKeys = new Map<string, AnswerKey>()
+  readonly #poolsBeingWritten = new Set<PoolName>()
   #timer: NodeJS.Timeout | undefined
   #stopped = false
 
   constructor (options: RolloutTaskOptions) {
     this.#options = options
-    options.links.onPost(GRANT_USED, (used: UsedGrant, from) => this.#returned(from, used))
-    options.gate.onUsed((used) => this.#returned(options.self, used))
+    options.links.onPost(GRANT_USED_TOPIC, (used: GrantUsedMessage, from) => this.#onGrantUsed(from, used))
+    options.gate.onGrantUsed((used) => this.#onGrantUsed(options.self, used))
   }
 
-  /** Begins to decide whenever this daemon holds the lease; it only wakes while an order is not finished. */
+  /** Starts deciding whenever this daemon holds the lease; the timer only runs while some order is unfinished. */
   start (): void {
-    this.#options.rollouts.onChange(() => this.#wake())
-    this.#wake()
+    this.#options.rollouts.onChange(() => this.#updateTimer())
+    this.#updateTimer()
   }
 
-  /** Stops. */
+  /** Stops deciding. */
   stop (): void {
     this.#stopped = true
     clearInterval(this.#timer)
   }
 
-  #wake (): void {
-    const busy = !this.#stopped && [...this.#options.rollouts.records.values()].some(isUnfinished)
-    if (busy) this.#timer ??= setInterval(() => this.round(), ROUND_MS)
-    else this.#sleep()
+  #updateTimer (): void {
+    const hasUnfinished = !this.#stopped && [...this.#options.rollouts.records.values()].some(isUnfinished)
+    if (hasUnfinished) this.#timer ??= setInterval(() => this.runRound(), ROUND_INTERVAL_MS)
+    else this.#stopTimer()
   }
 
-  #sleep (): void {
+  #stopTimer (): void {
     clearInterval(this.#timer)
     this.#timer = undefined
-    this.#trials.clear()
-    this.#keys.clear()
+    this.#canaryStates.clear()
+    this.#parsedKeys.clear()
   }
 
-  /** Looks at each order, if this daemon holds the lease. */
-  round (): void {
+  /** Advances each order if this daemon holds the lease; during a store outage only holds versions that compare worse. */
+  runRound (): void {
     const { lease, rollouts } = this.#options
     if (lease.fencing !== undefined) {
-      for (const record of rollouts.records.values()) if (!this.#writing.has(record.order.pool)) this.#look(record)
+      for (const record of rollouts.records.values()) if (!this.#poolsBeingWritten.has(record.order.pool)) this.#advance(record)
     } else if (lease.fencingInOutage !== undefined) {
       for (const record of rollouts.records.values()) this.#holdIfWorse(record)
     } else {
-      this.#trials.clear()
+      this.#canaryStates.clear()
     }
   }
 
   #holdIfWorse (record: RolloutRecord): void {
     const progress = progressOf(record)
-    if (progress && !isFinal(progress) && this.#compare(progress, this.#answers(progress)).verdict === 'worse') this.#options.rollouts.hold(progress)
+    if (progress && !isFinal(progress) && this.#compare(progress, this.#answersOf(progress)).verdict === 'worse') this.#options.rollouts.hold(progress)
   }
 
   #compare (progress: RolloutProgress, answers: Answers): Comparison {
-    return compareVersions(answers, this.#trialOf(progress).history.note(answers, steadyNow()))
+    return compareVersions(answers, this.#canaryStateOf(progress).history.note(answers, steadyNow()))
   }
 
-  #look (record: RolloutRecord): void {
+  #advance (record: RolloutRecord): void {
     const progress = progressOf(record)
     if (!progress) {
-      this.#begin(record)
+      this.#prepare(record)
       return
     }
     if (isFinal(progress)) return
-    const trial = this.#trialOf(progress)
-    const answers = this.#answers(progress)
+    const state = this.#canaryStateOf(progress)
+    const answers = this.#answersOf(progress)
     const next = nextProgress(progress, {
       nowMs: this.#nowMs(),
       comparison: this.#compare(progress, answers),
       newSlots: this.#slotsOf(progress.order.pool, progress.order.to),
-      running: this.#runningAt(progress.order.pool),
-      runningAtOld: this.#runningAtOld(progress, trial),
+      running: this.#runningInPool(progress.order.pool),
+      runningAtOld: this.#runningAtOldVersion(progress, state),
       newsMs: this.#options.newsMs
     })
     if (next) this.#write(record, next)
-    else if (progress.stage === 'canary') this.#grant(record, { progress, trial, answers })
+    else if (progress.stage === 'canary') this.#issueGrants(record, { progress, state, answers })
   }
 
-  /** The version that carries the work now is the one to go back to, also where an order before was not finished. */
-  async #begin (record: RolloutRecord): Promise<void> {
+  /** Starts an order. The version that serves the pool now is the one to roll back to, even if an earlier order was left unfinished. */
+  async #prepare (record: RolloutRecord): Promise<void> {
     const { gate, rollouts } = this.#options
     const { order } = record
-    const seenMs = steadyNow() - rollouts.orderedAtMs(order.pool)
-    const from = gate.carries(order.pool) ?? (seenMs > NO_ENDPOINTS_MS ? NO_VERSION : undefined)
+    const seenMs = steadyNow() - rollouts.orderSeenAtMs(order.pool)
+    const from = gate.carries(order.pool) ?? (seenMs > NO_ENDPOINTS_GRACE_MS ? NO_VERSION : undefined)
     if (from === undefined) return
     const nowMs = this.#nowMs()
     await this.#write(record, { order, from, stage: 'preparing', orderedAtMs: nowMs - seenMs, stageAtMs: nowMs, granted: 0, why: 'an operator ordered it' })
   }
 
-  /** After a write whose fate is not known, or that another one came before, the store says how things stand. */
+  /** Writes progress. When the outcome is unknown, or another write came first, reads the record again. */
   async #write (record: RolloutRecord, progress: RolloutProgress): Promise<boolean> {
     const { port, rollouts } = this.#options
     const { pool } = record.order
-    this.#writing.add(pool)
+    this.#poolsBeingWritten.add(pool)
     try {
-      rollouts.learn(await port.write(record, progress))
+      rollouts.publish(await port.write(record, progress))
       return true
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
       log('rollout-not-written', { pool, stage: progress.stage, why: err.message })
-      if (!isStoreFailure(err, 'not-applied')) await this.#readAgain(record)
+      if (!isStoreFailure(err, 'not-applied')) await this.#reload(record)
       return false
     } finally {
-      this.#writing.delete(pool)
+      this.#poolsBeingWritten.delete(pool)
     }
   }
 
-  async #writeGranted (record: RolloutRecord, { progress, trial, granted }: { progress: RolloutProgress, trial: Trial, granted: number }): Promise<void> {
-    const before = trial.written
-    // Known before the others hear of it: by then the record no longer differs from what this decider wrote.
-    trial.written = granted
-    if (!await this.#write(record, { ...progress, granted })) trial.written = before
+  async #persistGrants (record: RolloutRecord, { progress, state, granted }: { progress: RolloutProgress, state: CanaryState, granted: number }): Promise<void> {
+    const before = state.persistedGrants
+    // Set before the write: when listeners see the new record, it must match, or the state would be rebuilt as if another lease holder had written it.
+    state.persistedGrants = granted
+    if (!await this.#write(record, { ...progress, granted })) state.persistedGrants = before
   }
 
-  async #readAgain (record: RolloutRecord): Promise<void> {
+  async #reload (record: RolloutRecord): Promise<void> {
     try {
       const found = await this.#options.port.read(record)
-      if (found) this.#options.rollouts.learn(found)
+      if (found) this.#options.rollouts.publish(found)
     } catch (err) {
       log('rollout-not-written', { pool: record.order.pool, stage: 'unknown', why: (err as Error).message })
     }
   }
 
-  /** Where another decider wrote that it grants requests, all of them are taken for used, as are those of this one before. */
-  #trialOf (progress: RolloutProgress): Trial {
+  /** State of an order. When another lease holder has recorded grants, all recorded so far count as used, including this daemon's own. */
+  #canaryStateOf (progress: RolloutProgress): CanaryState {
     const { granted, order: { pool } } = progress
     const order = orderId(progress)
-    const known = this.#trials.get(pool)
-    if (known?.order === order && known.written === granted) return known
-    const before = known?.order === order ? known : { history: new AnswerHistory(), grantedAtMs: -Infinity, turns: new Map<EndpointId, number>(), emptySinceMs: undefined }
-    const trial: Trial = { ...before, order, ledger: new GrantLedger(granted), written: granted }
-    this.#trials.set(pool, trial)
-    return trial
+    const known = this.#canaryStates.get(pool)
+    if (known?.order === order && known.persistedGrants === granted) return known
+    const before = known?.order === order ? known : { history: new AnswerHistory(), lastGrantAtMs: -Infinity, timesChosen: new Map<EndpointId, number>(), oldIdleSinceMs: undefined }
+    const state: CanaryState = { ...before, order, ledger: new GrantLedger(granted), persistedGrants: granted }
+    this.#canaryStates.set(pool, state)
+    return state
   }
 
-  #returned (from: DaemonId, { pool, order, number, used }: UsedGrant): void {
-    const trial = this.#trials.get(pool)
-    if (trial?.order === order) trial.ledger.returned(from, number, used)
+  #onGrantUsed (from: DaemonId, { pool, order, number, used }: GrantUsedMessage): void {
+    const state = this.#canaryStates.get(pool)
+    if (state?.order === order) state.ledger.returned(from, number, used)
   }
 
-  #grant (record: RolloutRecord, { progress, trial, answers }: { progress: RolloutProgress, trial: Trial, answers: Answers }): void {
+  #issueGrants (record: RolloutRecord, { progress, state, answers }: { progress: RolloutProgress, state: CanaryState, answers: Answers }): void {
     const now = steadyNow()
-    if (now - trial.grantedAtMs < GRANT_EVERY_MS) return
+    if (now - state.lastGrantAtMs < GRANT_EVERY_MS) return
     const { pool, to } = progress.order
     const endpoints = this.#options.table.ofVersion(pool, to).map(({ id }) => id)
-    const { demand, requests } = this.#demand(progress)
-    const portion = nextPortion({ requests, ageMs: this.#ageMs(progress), granted: trial.ledger.granted, endpoints: endpoints.length, answers }, this.#options.exposure)
+    const { demand, requests } = this.#demandOf(progress)
+    const portion = nextPortion({ requests, ageMs: this.#ageMs(progress), granted: state.ledger.granted, endpoints: endpoints.length, answers }, this.#options.exposure)
     const grants = portion && shareOut(demand, { requests: portion.requests, forMs: GRANT_MS, random: this.#options.random })
-    const sum = grants ? sumOfGrants(grants) : 0
+    const sum = grants ? totalRequests(grants) : 0
     if (sum === 0) return
-    if (trial.ledger.granted + sum > trial.written) {
-      this.#writeGranted(record, { progress, trial, granted: trial.ledger.granted + sum + WRITE_AHEAD })
+    if (state.ledger.granted + sum > state.persistedGrants) {
+      this.#persistGrants(record, { progress, state, granted: state.ledger.granted + sum + GRANT_WRITE_AHEAD })
       return
     }
-    trial.grantedAtMs = now
-    const chosen = leastOften(trial.turns, endpoints, endpointsFor(sum, portion!))
+    state.lastGrantAtMs = now
+    const chosen = leastChosen(state.timesChosen, endpoints, endpointsFor(sum, portion!))
     for (const [daemon, requests] of grants!) {
-      const number = trial.ledger.give(daemon, sumOfGrants([[daemon, requests]]))
-      this.#post(daemon, { pool, grant: { order: trial.order, number, requests, endpoints: chosen, forMs: GRANT_MS } })
+      const number = state.ledger.give(daemon, totalRequests([[daemon, requests]]))
+      this.#sendGrant(daemon, { pool, grant: { order: state.order, number, requests, endpoints: chosen, forMs: GRANT_MS } })
     }
   }
 
-  #post (daemon: DaemonId, told: ToldGrant): void {
+  #sendGrant (daemon: DaemonId, message: GrantMessage): void {
     const { self, gate, links } = this.#options
-    if (daemon === self) gate.take(told.pool, told.grant, undefined)
-    else links.post(daemon, GRANT, told)
+    if (daemon === self) gate.acceptGrant(message.pool, message.grant, undefined)
+    else links.post(daemon, GRANT_TOPIC, message)
   }
 
-  /** How often requests came to each daemon since the order, and how many there were. */
-  #demand (progress: RolloutProgress): { demand: DaemonDemand[], requests: number } {
+  /** Request rate of each daemon and class since the order, and the number of requests in all. */
+  #demandOf (progress: RolloutProgress): { demand: DaemonDemand[], requests: number } {
     const seconds = Math.max(1, this.#ageMs(progress) / MS_PER_S)
-    const asked = [...this.#told(progress)].filter(({ key }) => key.bucket === ASKED)
+    const asked = [...this.#countsOf(progress)].filter(({ key }) => key.bucket === ASKED)
     return {
       demand: asked.map(({ daemon, key, count }) => ({ daemon, cls: key.cls, perS: count / seconds })),
       requests: asked.reduce((sum, { count }) => sum + count, 0)
     }
   }
 
-  #answers (progress: RolloutProgress): Answers {
+  #answersOf (progress: RolloutProgress): Answers {
     const answers: Answers = new Map()
-    for (const { key: { cls, version, group = 0, bucket }, count } of this.#told(progress)) {
+    for (const { key: { cls, version, group = 0, bucket }, count } of this.#countsOf(progress)) {
       if (bucket === ASKED) continue
       const counts = classAnswers(answers, cls)
       if (version === progress.from) addAnswers(counts.old, bucket, count)
@@ -256,12 +256,12 @@
     return answers
   }
 
-  * #told (progress: RolloutProgress): Iterable<{ daemon: DaemonId, key: AnswerKey, count: number }> {
+  * #countsOf (progress: RolloutProgress): Iterable<{ daemon: DaemonId, key: AnswerKey, count: number }> {
     const { pool } = progress.order
     const order = orderId(progress)
     for (const { daemon, key: text, total } of this.#options.tallies.tally.entries(answersPrefix(pool))) {
-      const key = this.#keys.get(text) ?? readAnswerKey(pool, text)
-      this.#keys.set(text, key)
+      const key = this.#parsedKeys.get(text) ?? readAnswerKey(pool, text)
+      this.#parsedKeys.set(text, key)
       if (key.order === order) yield { daemon, key, count: total }
     }
   }
@@ -270,17 +270,17 @@
     return this.#options.table.ofVersion(pool, version).reduce((sum, { speed }) => sum + speed.batchSlots, 0)
   }
 
-  #runningAt (pool: PoolName): number {
+  #runningInPool (pool: PoolName): number {
     return this.#options.table.all.filter((view) => view.pool === pool).reduce((sum, view) => sum + runningNow(view), 0)
   }
 
-  #runningAtOld ({ order: { pool }, from }: RolloutProgress, trial: Trial): number | undefined {
+  #runningAtOldVersion ({ order: { pool }, from }: RolloutProgress, state: CanaryState): number | undefined {
     const { table } = this.#options
-    if ((table.othersAgeMs ?? Infinity) > LOADS_FRESH_MS) return undefined
+    if ((table.othersAgeMs ?? Infinity) > MAX_LOAD_REPORT_AGE_MS) return undefined
     const running = table.all.filter((view) => view.pool === pool && view.version === from).reduce((sum, view) => sum + runningNow(view), 0)
     const now = steadyNow()
-    trial.emptySinceMs = running > 0 ? undefined : trial.emptySinceMs ?? now
-    return running === 0 && now - trial.emptySinceMs! < EMPTY_FOR_MS ? undefined : running
+    state.oldIdleSinceMs = running > 0 ? undefined : state.oldIdleSinceMs ?? now
+    return running === 0 && now - state.oldIdleSinceMs! < OLD_VERSION_IDLE_MS ? undefined : running
   }
 
   #ageMs ({ orderedAtMs }: RolloutProgress): number {
@@ -292,7 +292,7 @@
   }
 }
 
-function sumOfGrants (grants: Iterable<readonly [DaemonId, readonly ClassGrant[]]>): number {
+function totalRequests (grants: Iterable<readonly [DaemonId, readonly ClassGrant[]]>): number {
   let sum = 0
   for (const [, counts] of grants) for (const [, requests] of counts) sum += requests
   return sum
@@ -303,9 +303,9 @@
   return !progress || !isFinal(progress)
 }
 
-/** Those that had the fewest turns, who have one more. */
-function leastOften (turns: Map<EndpointId, number>, endpoints: readonly EndpointId[], count: number): EndpointId[] {
-  const chosen = [...endpoints].sort((a, b) => (turns.get(a) ?? 0) - (turns.get(b) ?? 0)).slice(0, count)
-  for (const id of chosen) turns.set(id, (turns.get(id) ?? 0) + 1)
+/** Picks the endpoints chosen least often so far, and counts the choice. */
+function leastChosen (timesChosen: Map<EndpointId, number>, endpoints: readonly EndpointId[], count: number): EndpointId[] {
+  const chosen = [...endpoints].sort((a, b) => (timesChosen.get(a) ?? 0) - (timesChosen.get(b) ?? 0)).slice(0, count)
+  for (const id of chosen) timesChosen.set(id, (timesChosen.get(id) ?? 0) + 1)
   return chosen
 }
--- a/daemon/rollout/rollout_task_test.ts
+++ b/daemon/rollout/rollout_task_test.ts
@@ -18,22 +18,22 @@
 const CLASS = as<ClassName>('check')
 const OLD = as<EndpointVersion>('v1')
 const NEW = as<EndpointVersion>('v2')
-const LIMIT = { share: 0.1, slack: 50 }
-const NEWS_MS = 2000
+const EXPOSURE_LIMIT = { share: 0.1, slack: 50 }
+const PROPAGATION_MS = 2000
 const DURATION_MS = 12_000
-const CALL_EVERY_MS = 8
+const REQUEST_EVERY_MS = 8
 const ANSWER_MS = 40
-const TELL_MS = 200
+const GOSSIP_EVERY_MS = 200
 const { h32 } = await xxhash()
 
-/** The order as the store keeps it, with the store's faults. */
+/** A store that holds one order, with injectable faults. */
 class OrderStore {
   record: RolloutRecord | undefined
   down = false
   loseAnswers = 0
-  lateWrites = 0
+  writesToDelay = 0
   readonly verdicts: string[] = []
-  /** Written after a verdict over the same order. */
+  /** Writes applied to an order that already had its verdict. */
   contradictions = 0
   #version = 10
   onWrite: () => void = () => {}
@@ -45,21 +45,21 @@
   }
 
   async read (): Promise<RolloutRecord | undefined> {
-    if (this.down) throw new StoreError('Cannot read: away', { failure: 'not-applied' })
+    if (this.down) throw new StoreError('Cannot read: store is down', { failure: 'not-applied' })
     return this.record
   }
 
   async write (record: RolloutRecord, progress: RolloutProgress): Promise<RolloutRecord> {
-    if (this.down) throw new StoreError('Cannot write: away', { failure: 'not-applied' })
-    if (this.lateWrites > 0) {
-      this.lateWrites--
+    if (this.down) throw new StoreError('Cannot write: store is down', { failure: 'not-applied' })
+    if (this.writesToDelay > 0) {
+      this.writesToDelay--
       setTimeout(() => this.#apply(record, progress), 3000)
-      throw new StoreError('Cannot tell: no answer', { failure: 'unsure' })
+      throw new StoreError('Write outcome unknown: no reply', { failure: 'unsure' })
     }
-    if (!this.#apply(record, progress)) throw new StoreError('Cannot write: version moved', { failure: 'conflict' })
+    if (!this.#apply(record, progress)) throw new StoreError('Cannot write: version changed', { failure: 'conflict' })
     if (this.loseAnswers > 0) {
       this.loseAnswers--
-      throw new StoreError('Cannot tell: no answer', { failure: 'unsure' })
+      throw new StoreError('Write outcome unknown: no reply', { failure: 'unsure' })
     }
     return this.record!
   }
@@ -77,10 +77,10 @@
 
 interface FleetDaemon {
   id: DaemonId
-  parted: boolean
+  partitioned: boolean
   frozen: boolean
   records: Map<PoolName, RolloutRecord>
-  heard: RolloutListener[]
+  listeners: RolloutListener[]
   handlers: Map<string, PostHandler>
   tally: Tally
   table: EndpointTable
@@ -88,37 +88,37 @@
   task: RolloutTask
 }
 
-/** Daemons with their real gates and deciders; links, the store and endpoints are played. */
+/** Daemons with real version gates and rollout tasks; links, the store and endpoints are simulated. */
 class Fleet {
   readonly store = new OrderStore()
   readonly daemons: FleetDaemon[] = []
-  /** Daemons that believe to hold the lease. */
-  readonly holders = new Set<number>()
+  /** Indexes of the daemons that believe they hold the lease. */
+  readonly leaseHolders = new Set<number>()
   readonly random: Random
-  failing = 0
+  failureRate = 0
   requests = 0
   granted = 0
-  /** Requests to the new version by what every daemon had been told. */
-  toNew = 0
+  /** Requests sent to the new version, with a grant or without. */
+  sentToNew = 0
   running = new Map<EndpointVersion, number>([[OLD, 0], [NEW, 0]])
   completedWhileRunning = 0
-  #orderedAt = 0
+  #requestsAtOrder = 0
 
   constructor (daemons: number, seed: number) {
     this.random = seededRandom(Math.imul(seed, 0x9e3779b1))
     for (let i = 0; i < daemons; i++) this.daemons.push(this.#daemon(i))
-    this.store.onWrite = () => this.#spread()
-    setInterval(() => this.#call(), CALL_EVERY_MS)
-    setInterval(() => this.#tell(), TELL_MS)
+    this.store.onWrite = () => this.#propagate()
+    setInterval(() => this.#sendRequest(), REQUEST_EVERY_MS)
+    setInterval(() => this.#gossip(), GOSSIP_EVERY_MS)
   }
 
   order (to = NEW, durationMs = DURATION_MS): void {
-    this.#orderedAt = this.requests
+    this.#requestsAtOrder = this.requests
     this.store.order(to, durationMs)
   }
 
   /** Requests since the order. */
-  get asked (): number { return this.requests - this.#orderedAt }
+  get asked (): number { return this.requests - this.#requestsAtOrder }
   get stage (): string | undefined { return this.store.record && progressOf(this.store.record)?.stage }
 
   stop (): void {
@@ -137,14 +137,14 @@
     const tally = new Tally(id)
     const clock = new SharedClock({ wallMs: 1e12, steadyMs: steadyNow() })
     const records = new Map<PoolName, RolloutRecord>()
-    const heard: RolloutListener[] = []
+    const listeners: RolloutListener[] = []
     const rollouts = {
       records,
-      onChange: (listener: RolloutListener) => { heard.push(listener) },
+      onChange: (listener: RolloutListener) => { listeners.push(listener) },
       isHeld: () => false,
       hold: () => {},
-      orderedAtMs: () => steadyNow(),
-      learn: (record: RolloutRecord) => this.#hear(i, record)
+      orderSeenAtMs: () => steadyNow(),
+      publish: (record: RolloutRecord) => this.#deliver(i, record)
     }
     const links = {
       post: (to: DaemonId, topic: string, value: unknown) => this.#post(i, to, { topic, value }),
@@ -153,57 +153,57 @@
     const tallies = { tally, clock, tellSoon: () => {} }
     const gate = new VersionGate({ table, rollouts, tallies, links, hash: h32, metrics: createMetrics() })
     const fleet = this
-    const lease = { get fencing () { return fleet.holders.has(i) && !fleet.daemons[i]!.frozen ? 1 : undefined }, fencingInOutage: undefined }
-    const task = new RolloutTask({ self: id, port: this.store, rollouts, gate, lease, table, tallies, links, exposure: LIMIT, newsMs: NEWS_MS, random: this.random })
+    const lease = { get fencing () { return fleet.leaseHolders.has(i) && !fleet.daemons[i]!.frozen ? 1 : undefined }, fencingInOutage: undefined }
+    const task = new RolloutTask({ self: id, port: this.store, rollouts, gate, lease, table, tallies, links, exposure: EXPOSURE_LIMIT, newsMs: PROPAGATION_MS, random: this.random })
     task.start()
-    return { id, parted: false, frozen: false, records, heard, handlers, tally, table, gate, task }
+    return { id, partitioned: false, frozen: false, records, listeners, handlers, tally, table, gate, task }
   }
 
   #post (from: number, to: DaemonId, { topic, value }: { topic: string, value: unknown }): boolean {
     const sender = this.daemons[from]!
     const receiver = this.daemons.find(({ id }) => id === to)!
-    if (sender.parted || receiver.parted) return false
+    if (sender.partitioned || receiver.partitioned) return false
     const waitMs = 2 + this.random() * 30
-    setTimeout(() => { if (!receiver.parted) receiver.handlers.get(topic)!(structuredClone(value) as never, sender.id) }, waitMs)
+    setTimeout(() => { if (!receiver.partitioned) receiver.handlers.get(topic)!(structuredClone(value) as never, sender.id) }, waitMs)
     return true
   }
 
-  /** Every daemon in touch hears within the time for news. */
-  #spread (): void {
+  /** Delivers the record to each connected daemon within the propagation time. */
+  #propagate (): void {
     const record = this.store.record!
-    this.daemons.forEach((daemon, i) => { if (!daemon.parted) setTimeout(() => this.#hear(i, record), this.random() * NEWS_MS * 0.9) })
+    this.daemons.forEach((daemon, i) => { if (!daemon.partitioned) setTimeout(() => this.#deliver(i, record), this.random() * PROPAGATION_MS * 0.9) })
   }
 
-  #hear (i: number, record: RolloutRecord): void {
-    const { records, heard } = this.daemons[i]!
+  #deliver (i: number, record: RolloutRecord): void {
+    const { records, listeners } = this.daemons[i]!
     const known = records.get(POOL)
     if (known && known.version >= record.version) return
     records.set(POOL, record)
-    for (const listener of heard) listener(POOL)
+    for (const listener of listeners) listener(POOL)
   }
 
-  /** Parted daemons are told when they are back. */
+  /** Ends a daemon's partition and delivers the current record. */
   heal (i: number): void {
-    this.daemons[i]!.parted = false
-    if (this.store.record) this.#hear(i, this.store.record)
+    this.daemons[i]!.partitioned = false
+    if (this.store.record) this.#deliver(i, this.store.record)
   }
 
-  #tell (): void {
-    for (const { id, tally, parted, frozen } of this.daemons) {
-      if (parted || frozen) continue
-      for (const other of this.daemons) if (other.id !== id && !other.parted) other.tally.receive({ daemon: id, entries: tally.sheetOf(id) })
+  #gossip (): void {
+    for (const { id, tally, partitioned, frozen } of this.daemons) {
+      if (partitioned || frozen) continue
+      for (const other of this.daemons) if (other.id !== id && !other.partitioned) other.tally.receive({ daemon: id, entries: tally.sheetOf(id) })
     }
     for (const { table } of this.daemons) {
-      table.othersWork(this.#work(OLD, table).concat(this.#work(NEW, table)))
+      table.othersWork(this.#loadOf(OLD, table).concat(this.#loadOf(NEW, table)))
     }
   }
 
-  #work (version: EndpointVersion, table: EndpointTable): Array<readonly [EndpointId, EndpointView['others']]> {
+  #loadOf (version: EndpointVersion, table: EndpointTable): Array<readonly [EndpointId, EndpointView['others']]> {
     const view = table.all.find((each) => each.version === version)!
     return [[view.id, { running: this.running.get(version)!, unread: { urgent: 0, normal: 0, late: 0 } }]]
   }
 
-  #call (): void {
+  #sendRequest (): void {
     const daemon = this.daemons[Math.floor(this.random() * this.daemons.length)]!
     if (daemon.frozen) return
     this.requests++
@@ -215,12 +215,12 @@
       this.granted++
     }
     const version = canary ? NEW : daemon.gate.carries(POOL)!
-    if (version === NEW) this.toNew++
+    if (version === NEW) this.sentToNew++
     const view = canary ?? pick(daemon.table.ofVersion(POOL, version), this.random)
     this.running.set(version, this.running.get(version)! + 1)
     setTimeout(() => {
       this.running.set(version, this.running.get(version)! - 1)
-      if (version === NEW && this.random() < this.failing) daemon.gate.failed(view, CLASS)
+      if (version === NEW && this.random() < this.failureRate) daemon.gate.failed(view, CLASS)
       else daemon.gate.answered(view, CLASS, { tookMs: ANSWER_MS * (0.5 + this.random()), predictedMs: ANSWER_MS })
     }, ANSWER_MS)
   }
@@ -261,69 +261,69 @@
   await vi.advanceTimersByTimeAsync(ms)
 }
 
-test('a version that nobody ordered gets nothing', async () => {
+test('a version without a rollout order gets no requests', async () => {
   fleet = new Fleet(3, 1)
-  fleet.holders.add(0)
+  fleet.leaseHolders.add(0)
   await run(5000)
-  expect(fleet.toNew).toBe(0)
+  expect(fleet.sentToNew).toBe(0)
 })
 
 test('a good version is completed by the deadline, and all daemons use it', async () => {
   fleet = new Fleet(3, 1)
-  fleet.holders.add(0)
+  fleet.leaseHolders.add(0)
   await run(1000)
   fleet.order()
   await run(DURATION_MS)
   expect(fleet.stage).toBe('completed')
-  const before = fleet.requests - fleet.toNew
+  const before = fleet.requests - fleet.sentToNew
   await run(2000)
-  expect(fleet.requests - fleet.toNew).toBe(before)
+  expect(fleet.requests - fleet.sentToNew).toBe(before)
 })
 
-test('a bad version gets less than it may until it is gone back on, and nothing later', async () => {
+test('a bad version stays within its exposure limit until it is rolled back, and gets no requests afterwards', async () => {
   for (const seed of [1, 2, 3]) {
     fleet = new Fleet(3, seed)
-    fleet.failing = 0.3
-    fleet.holders.add(0)
+    fleet.failureRate = 0.3
+    fleet.leaseHolders.add(0)
     fleet.order()
     await run(DURATION_MS / 2)
     expect(fleet.stage).toBe('rolled-back')
-    expect(fleet.toNew).toBeLessThanOrEqual(exposureAllowed(fleet.asked, LIMIT))
-    const before = fleet.toNew
+    expect(fleet.sentToNew).toBeLessThanOrEqual(exposureAllowed(fleet.asked, EXPOSURE_LIMIT))
+    const before = fleet.sentToNew
     await run(DURATION_MS)
-    expect(fleet.toNew).toBe(before)
+    expect(fleet.sentToNew).toBe(before)
     fleet.stop()
     vi.clearAllTimers()
   }
 })
 
-test('a daemon that hears nothing any more sends nothing more to the version on trial', async () => {
+test('a partitioned daemon stops sending requests to the canary version', async () => {
   fleet = new Fleet(3, 1)
-  fleet.holders.add(0)
+  fleet.leaseHolders.add(0)
   fleet.order()
   await run(3500)
   expect(fleet.stage).toBe('canary')
-  for (const i of [0, 1, 2]) fleet.daemons[i]!.parted = true
-  // What it was granted runs out within a second.
+  for (const i of [0, 1, 2]) fleet.daemons[i]!.partitioned = true
+  // Outstanding grants expire within a second.
   await run(1100)
-  fleet.holders.clear()
-  const before = fleet.toNew
+  fleet.leaseHolders.clear()
+  const before = fleet.sentToNew
   await run(10_000)
-  expect(fleet.toNew).toBe(before)
+  expect(fleet.sentToNew).toBe(before)
 })
 
-test('a successor goes on in the middle of a stage, whatever became of the decider', async () => {
-  for (const end of ['dies', 'freezes', 'is parted'] as const) {
+test('a new lease holder resumes in the middle of a stage, however the previous one failed', async () => {
+  for (const end of ['dies', 'freezes', 'is partitioned'] as const) {
     fleet = new Fleet(4, 2)
-    fleet.holders.add(0)
+    fleet.leaseHolders.add(0)
     fleet.order()
     await run(3000)
     if (end === 'dies') fleet.daemons[0]!.task.stop()
     if (end === 'freezes') fleet.daemons[0]!.frozen = true
-    if (end === 'is parted') fleet.daemons[0]!.parted = true
-    else fleet.holders.delete(0)
+    if (end === 'is partitioned') fleet.daemons[0]!.partitioned = true
+    else fleet.leaseHolders.delete(0)
     await run(3000)
-    fleet.holders.add(1)
+    fleet.leaseHolders.add(1)
     await run(DURATION_MS)
     expect(fleet.stage).toBe('completed')
     expect(fleet.store.verdicts).toEqual(['completed'])
@@ -332,14 +332,14 @@
   }
 })
 
-test('an order that replaces another one is carried out in its place, and one that comes again after its end anew', async () => {
+test('an order replaces an unfinished one, and an order repeated after its end starts again', async () => {
   fleet = new Fleet(3, 4)
-  fleet.holders.add(0)
-  fleet.failing = 0.4
+  fleet.leaseHolders.add(0)
+  fleet.failureRate = 0.4
   fleet.order()
   await run(DURATION_MS / 2)
   expect(fleet.store.verdicts).toEqual(['rolled-back'])
-  fleet.failing = 0
+  fleet.failureRate = 0
   fleet.order(NEW, DURATION_MS + 1)
   await run(DURATION_MS + 1)
   expect(fleet.store.verdicts).toEqual(['rolled-back', 'completed'])
@@ -350,9 +350,9 @@
   expect(fleet.store.verdicts).toEqual(['rolled-back', 'completed', 'completed'])
 })
 
-test('an order for a version without endpoints is given up at its deadline', async () => {
+test('an order for a version without endpoints is rolled back at its deadline', async () => {
   fleet = new Fleet(3, 1)
-  fleet.holders.add(0)
+  fleet.leaseHolders.add(0)
   fleet.order(as<EndpointVersion>('v9'), 5000)
   await run(4500)
   expect(fleet.store.verdicts).toEqual([])
@@ -360,26 +360,26 @@
   expect(fleet.store.verdicts).toEqual(['rolled-back'])
 })
 
-interface Fault { atMs: number, kind: 'lease' | 'second holder' | 'freeze' | 'part' | 'store away' | 'lost answers' | 'late writes', daemon: number, forMs: number }
+interface Fault { atMs: number, kind: 'lease' | 'second lease holder' | 'freeze' | 'part' | 'store down' | 'lost replies' | 'late writes', daemon: number, forMs: number }
 
-test('random schedules: granted requests stay within what is allowed, there is one verdict, and it holds', async () => {
-  // Deciders that act at the same time, daemons that hear late or not at all, and a store that is away, slow or answers nothing.
+test('random fault schedules: granted requests stay within the exposure limit, and there is at most one verdict, which stands', async () => {
+  // Faults: two lease holders at once, frozen and partitioned daemons, and a store that is down, applies writes late or loses replies.
   const fault: fc.Arbitrary<Fault> = fc.record({
     atMs: fc.integer({ min: 0, max: DURATION_MS }),
-    kind: fc.constantFrom('lease', 'second holder', 'freeze', 'part', 'store away', 'lost answers', 'late writes'),
+    kind: fc.constantFrom('lease', 'second lease holder', 'freeze', 'part', 'store down', 'lost replies', 'late writes'),
     daemon: fc.integer({ min: 0, max: 3 }),
     forMs: fc.integer({ min: 200, max: 5000 })
   })
   await fc.assert(fc.asyncProperty(fc.array(fault, { maxLength: 8 }), fc.boolean(), fc.integer({ min: 1, max: 1e6 }), async (faults, isBad, seed) => {
     vi.clearAllTimers()
     fleet = new Fleet(4, seed)
-    fleet.failing = isBad ? 0.3 : 0
-    fleet.holders.add(0)
-    for (const each of faults) setTimeout(() => strike(fleet, each), each.atMs)
+    fleet.failureRate = isBad ? 0.3 : 0
+    fleet.leaseHolders.add(0)
+    for (const each of faults) setTimeout(() => injectFault(fleet, each), each.atMs)
     fleet.order()
     for (let ms = 0; ms < 2 * DURATION_MS; ms += 500) {
       await run(500)
-      expect(fleet.granted).toBeLessThanOrEqual(exposureAllowed(fleet.asked, LIMIT))
+      expect(fleet.granted).toBeLessThanOrEqual(exposureAllowed(fleet.asked, EXPOSURE_LIMIT))
     }
     expect(fleet.store.contradictions).toBe(0)
     expect(fleet.store.verdicts.length).toBeLessThanOrEqual(1)
@@ -390,36 +390,36 @@
   }), { seed: 7, numRuns: 25 })
 }, 120_000)
 
-function strike (fleet: Fleet, { kind, daemon, forMs }: Fault): void {
+function injectFault (fleet: Fleet, { kind, daemon, forMs }: Fault): void {
   const at = fleet.daemons[daemon]!
   const later = (act: () => void) => setTimeout(act, forMs)
   if (kind === 'lease') {
-    fleet.holders.clear()
-    fleet.holders.add(daemon)
-  } else if (kind === 'second holder') {
-    fleet.holders.add(daemon)
-    later(() => { if (fleet.holders.size > 1) fleet.holders.delete(daemon) })
+    fleet.leaseHolders.clear()
+    fleet.leaseHolders.add(daemon)
+  } else if (kind === 'second lease holder') {
+    fleet.leaseHolders.add(daemon)
+    later(() => { if (fleet.leaseHolders.size > 1) fleet.leaseHolders.delete(daemon) })
   } else if (kind === 'freeze') {
     at.frozen = true
     later(() => { at.frozen = false })
   } else if (kind === 'part') {
-    at.parted = true
+    at.partitioned = true
     later(() => fleet.heal(daemon))
-  } else if (kind === 'store away') {
+  } else if (kind === 'store down') {
     fleet.store.down = true
     later(() => { fleet.store.down = false })
-  } else if (kind === 'lost answers') {
+  } else if (kind === 'lost replies') {
     fleet.store.loseAnswers++
   } else {
-    fleet.store.lateWrites++
+    fleet.store.writesToDelay++
   }
 }
 
-/** A while after the verdict all new work goes to the version that it names. */
+/** Expects that, once the verdict has propagated, all new requests go to the version that it selects. */
 async function expectOneVersion (fleet: Fleet): Promise<void> {
-  await run(NEWS_MS)
-  const { toNew, requests } = fleet
+  await run(PROPAGATION_MS)
+  const { sentToNew, requests } = fleet
   await run(1000)
   const expected = fleet.store.verdicts[0] === 'completed' ? fleet.requests - requests : 0
-  expect(fleet.toNew - toNew).toBe(expected)
+  expect(fleet.sentToNew - sentToNew).toBe(expected)
 }
--- a/daemon/rollout/version_gate.ts
+++ b/daemon/rollout/version_gate.ts
@@ -1,4 +1,4 @@
-/** Decides on one daemon which version of a pool's endpoints a request goes to, and counts how the versions answer. */
+/** Decides on each daemon which version of a pool's endpoints serves a request, and counts the answers of each version. */
 import type { ClassName, DaemonId, EndpointVersion, PoolName } from '../../core/ids/index.ts'
 import { answerKey, answersPrefix, askedKey, bucketOf, GrantPurse, groupOf, isFinal, orderId, progressOf, versionRule, type AnswerBucket, type Grant, type RolloutProgress, type VersionRule } from '../../core/rollout/index.ts'
 import type { EndpointView, Hash32 } from '../../core/routing/index.ts'
@@ -19,125 +19,125 @@
   metrics: Pick<Metrics, 'rolloutAnswers'>
 }
 
-/** A grant on its way to a daemon. */
-export interface ToldGrant { pool: PoolName, grant: Grant }
-/** What a daemon used of a grant that is over. */
-export interface UsedGrant { pool: PoolName, order: string, number: number, used: number }
+/** Message that gives a daemon a grant. */
+export interface GrantMessage { pool: PoolName, grant: Grant }
+/** Message that reports how many requests of an ended grant a daemon sent. */
+export interface GrantUsedMessage { pool: PoolName, order: string, number: number, used: number }
 
-/** Work for which an endpoint is looked for. */
+/** Work that needs an endpoint. */
 export interface GatedWork { pool: PoolName, cls: { name: ClassName } }
 
-/** Topic of grants that the decider sends. */
-export const GRANT = 'rollout-grant'
-/** Topic of what was used of them. */
-export const GRANT_USED = 'rollout-grant-used'
+/** Topic of {@linkcode GrantMessage}, sent by the lease holder. */
+export const GRANT_TOPIC = 'rollout-grant'
+/** Topic of {@linkcode GrantUsedMessage}. */
+export const GRANT_USED_TOPIC = 'rollout-grant-used'
 
 /**
- * Keeps the endpoint table to the versions that may get work.
+ * Restricts the endpoint table to the versions that may get work.
  *
- * A version on trial gets requests by grants only, which run out: a daemon that hears nothing any more sends nothing more to it.
+ * A canary version gets requests only by grants, which expire: a daemon that is partitioned stops sending requests to it.
  */
 export class VersionGate {
   readonly #options: VersionGateOptions
-  /** Version that each pool's work went to before any order that this daemon knows of. */
-  readonly #before = new Map<PoolName, EndpointVersion>()
+  /** Version that serves each pool outside a rollout: the one found when the pool was first seen, or that of the last completed order. */
+  readonly #stableVersions = new Map<PoolName, EndpointVersion>()
   readonly #rules = new Map<PoolName, VersionRule>()
-  readonly #purses = new Map<PoolName, { purse: GrantPurse, order: string, from: DaemonId | undefined }>()
+  readonly #grants = new Map<PoolName, { purse: GrantPurse, order: string, from: DaemonId | undefined }>()
   readonly #timers = new Map<PoolName, NodeJS.Timeout>()
-  #onUsed: (used: UsedGrant) => void = () => {}
-  #onLeaves: (pool: PoolName, version: EndpointVersion) => void = () => {}
+  #onGrantUsed: (used: GrantUsedMessage) => void = () => {}
+  #onVersionEmptied: (pool: PoolName, version: EndpointVersion) => void = () => {}
 
   constructor (options: VersionGateOptions) {
     this.#options = options
-    options.links.onPost(GRANT, ({ pool, grant }: ToldGrant, from) => this.take(pool, grant, from))
-    options.rollouts.onChange((pool) => this.#changed(pool))
+    options.links.onPost(GRANT_TOPIC, ({ pool, grant }: GrantMessage, from) => this.acceptGrant(pool, grant, from))
+    options.rollouts.onChange((pool) => this.#onChange(pool))
     options.table.restrict((view) => this.#mayServe(view))
   }
 
-  /** Ends all grants. */
+  /** Drops all grants. */
   stop (): void {
     for (const timer of this.#timers.values()) clearTimeout(timer)
-    this.#purses.clear()
+    this.#grants.clear()
   }
 
-  /** Registers who hears what was used of grants that this daemon gave itself. */
-  onUsed (listener: (used: UsedGrant) => void): void {
-    this.#onUsed = listener
+  /** Sets the listener for the use of grants that this daemon issued to itself. */
+  onGrantUsed (listener: (used: GrantUsedMessage) => void): void {
+    this.#onGrantUsed = listener
   }
 
-  /** Registers who moves streams off a version. */
+  /** Sets the listener that moves streams off a version that is being emptied. */
   onLeaves (listener: (pool: PoolName, version: EndpointVersion) => void): void {
-    this.#onLeaves = listener
+    this.#onVersionEmptied = listener
   }
 
-  /** Takes a grant; `from` is undefined for one of this daemon's own. */
-  take (pool: PoolName, grant: Grant, from: DaemonId | undefined): void {
-    const known = this.#purses.get(pool)
+  /** Accepts a grant; `from` is undefined for one that this daemon issued itself. */
+  acceptGrant (pool: PoolName, grant: Grant, from: DaemonId | undefined): void {
+    const known = this.#grants.get(pool)
     const purse = known?.purse ?? new GrantPurse()
     const before = purse.take(grant, steadyNow())
-    if (known && before) this.#tellUsed({ pool, order: known.order, ...before }, known.from)
-    this.#purses.set(pool, { purse, order: grant.order, from })
+    if (known && before) this.#reportUsed({ pool, order: known.order, ...before }, known.from)
+    this.#grants.set(pool, { purse, order: grant.order, from })
     clearTimeout(this.#timers.get(pool))
     this.#timers.set(pool, setTimeout(() => this.#endGrant(pool), grant.forMs))
   }
 
-  /** Version that carries a pool's work; undefined where endpoints do not say theirs. */
+  /** Version that serves a pool; undefined when its endpoints do not report one. */
   carries (pool: PoolName): EndpointVersion | undefined {
     return this.#ruleOf(pool)?.carries
   }
 
-  /** True until a roll-out has come to its verdict. */
+  /** Whether a rollout of the pool is in progress. */
   isRolling (pool: PoolName): boolean {
-    return this.#running(pool) !== undefined
+    return this.#unfinished(pool) !== undefined
   }
 
-  /** Endpoints of a version on trial that a request may be sent to; none for most requests. */
+  /** Canary endpoints that a request may be sent to; none without a grant for its class. */
   canaries ({ pool, cls }: GatedWork): readonly EndpointView[] {
-    const held = this.#purses.get(pool)
+    const held = this.#grants.get(pool)
     const progress = held && this.#progress(pool)
     if (!progress || progress.stage !== 'canary') return []
     const granted = held.purse.endpointsFor(orderId(progress), cls.name, steadyNow())
     return granted.length === 0 ? [] : this.#options.table.ofVersion(pool, progress.order.to).filter(({ id }) => granted.includes(id))
   }
 
-  /** A request was sent to one of them. */
+  /** Counts a request that was sent to a canary endpoint against the grant. */
   spent ({ pool, cls }: GatedWork): void {
-    this.#purses.get(pool)?.purse.spend(cls.name)
+    this.#grants.get(pool)?.purse.spend(cls.name)
   }
 
-  /** A request came. */
+  /** Counts a request that arrived. */
   asked ({ pool, cls }: GatedWork): void {
-    const progress = this.#running(pool)
-    if (progress) this.#add(askedKey(pool, orderId(progress), cls.name))
+    const progress = this.#unfinished(pool)
+    if (progress) this.#addToTally(askedKey(pool, orderId(progress), cls.name))
   }
 
-  /** An endpoint gave the first word of its answer. */
+  /** Counts an answer by the time that its first part took. */
   answered (view: EndpointView, cls: ClassName, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
     this.#count(view, cls, bucketOf(tookMs, predictedMs))
   }
 
-  /** An endpoint said itself that it failed. */
+  /** Counts a failure that the endpoint itself reported. */
   failed (view: EndpointView, cls: ClassName): void {
     this.#count(view, cls, 'failed')
   }
 
   #count (view: EndpointView, cls: ClassName, bucket: AnswerBucket): void {
-    const progress = this.#running(view.pool)
+    const progress = this.#unfinished(view.pool)
     if (!progress || view.version === undefined) return
     const isNew = view.version === progress.order.to
     if (!isNew && view.version !== progress.from) return
     this.#options.metrics.rolloutAnswers.inc({ pool: view.pool, version: view.version, failed: bucket === 'failed' ? 'yes' : 'no' })
     const group = isNew ? groupOf(view.id, this.#options.hash) : undefined
-    this.#add(answerKey(view.pool, { order: orderId(progress), version: view.version, cls, group, bucket }))
+    this.#addToTally(answerKey(view.pool, { order: orderId(progress), version: view.version, cls, group, bucket }))
   }
 
-  #add (key: string): void {
+  #addToTally (key: string): void {
     const { tallies } = this.#options
     tallies.tally.add(key, 1)
     tallies.tellSoon()
   }
 
-  #running (pool: PoolName): RolloutProgress | undefined {
+  #unfinished (pool: PoolName): RolloutProgress | undefined {
     const progress = this.#progress(pool)
     return progress && !isFinal(progress) ? progress : undefined
   }
@@ -154,16 +154,16 @@
   #ruleOf (pool: PoolName): VersionRule | undefined {
     const known = this.#rules.get(pool)
     if (known) return known
-    const before = this.#before.get(pool) ?? this.#commonVersion(pool)
+    const before = this.#stableVersions.get(pool) ?? this.#commonVersion(pool)
     if (before === undefined) return undefined
-    this.#before.set(pool, before)
+    this.#stableVersions.set(pool, before)
     const { rollouts } = this.#options
     const rule = versionRule(rollouts.records.get(pool), { before, held: rollouts.isHeld(pool) })
     this.#rules.set(pool, rule)
     return rule
   }
 
-  /** What most endpoints run when the pool is first seen; endpoints of a version that is rolled out may be there already. */
+  /** Version that most endpoints run when the pool is first seen. The version that the pool's order names is not counted: its endpoints may already be there. */
   #commonVersion (pool: PoolName): EndpointVersion | undefined {
     const ordered = this.#options.rollouts.records.get(pool)?.order.to
     const counts = new Map<EndpointVersion, number>()
@@ -171,25 +171,25 @@
     return [...counts].sort(([a, many], [b, fewer]) => fewer - many || a.localeCompare(b, 'en', { numeric: true }))[0]?.[0]
   }
 
-  #changed (pool: PoolName): void {
+  #onChange (pool: PoolName): void {
     const progress = this.#progress(pool)
-    if (progress?.stage === 'completed') this.#before.set(pool, progress.order.to)
+    if (progress?.stage === 'completed') this.#stableVersions.set(pool, progress.order.to)
     this.#rules.delete(pool)
     if (!progress || isFinal(progress)) this.#options.tallies.tally.forget((key) => key.startsWith(answersPrefix(pool)))
     this.#options.table.restrict((view) => this.#mayServe(view))
     const { leaves } = this.#ruleOf(pool) ?? {}
-    if (leaves !== undefined) this.#onLeaves(pool, leaves)
+    if (leaves !== undefined) this.#onVersionEmptied(pool, leaves)
   }
 
   #endGrant (pool: PoolName): void {
-    const held = this.#purses.get(pool)
+    const held = this.#grants.get(pool)
     const used = held?.purse.end()
-    this.#purses.delete(pool)
-    if (held && used) this.#tellUsed({ pool, order: held.order, ...used }, held.from)
+    this.#grants.delete(pool)
+    if (held && used) this.#reportUsed({ pool, order: held.order, ...used }, held.from)
   }
 
-  #tellUsed (used: UsedGrant, to: DaemonId | undefined): void {
-    if (to === undefined) this.#onUsed(used)
-    else this.#options.links.post(to, GRANT_USED, used)
+  #reportUsed (used: GrantUsedMessage, to: DaemonId | undefined): void {
+    if (to === undefined) this.#onGrantUsed(used)
+    else this.#options.links.post(to, GRANT_USED_TOPIC, used)
   }
 }
