--- a/daemon/endpoints/endpoint_follower.ts
+++ b/daemon/endpoints/endpoint_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the endpoint table in step with a registry in the store. */
+/** Keeps the endpoint table up to date with an endpoint registry in the store. */
 import type { Pool } from '../../core/catalog/index.ts'
 import { problemsOf } from '../../core/config/validate.ts'
 import { as, type HostId, type PoolName } from '../../core/ids/index.ts'
@@ -14,55 +14,55 @@
 /** Options of {@linkcode EndpointFollower}. */
 export interface EndpointFollowerOptions {
   store: ObjectSource
-  /** Prefix of the registry's keys. */
+  /** Key prefix of the registry. */
   prefix: string
   decode (name: string, value: unknown): ListedEndpoint
   table: EndpointTable
-  /** How entries come and go. */
+  /** How often endpoints renew their entries, and how soon departures take effect. */
   times?: LapsedEntriesOptions
-  /** Longest wait of a watch, in milliseconds. Default 10,000. */
+  /** Long-poll timeout of a store watch, in milliseconds. Default 10,000. */
   waitMs?: number
   random: Random
   pool (name: PoolName): Pool | undefined
-  /** Called after each change. */
+  /** Called after each change to the endpoint table. */
   onChange (): void
 }
 
-/** Tokens that an engine reads in a second until first tokens tell better: the order of magnitude of a large model on a few accelerators. */
-const FIRST_READING_TOKENS_PER_S = 50_000
-/** Time between tokens, and what each further stream adds, in milliseconds; no platform publishes it, and no target of today is near it. */
-const FIRST_SPEED = { prefillTokensPerS: FIRST_READING_TOKENS_PER_S, betweenTokensMs: 4, betweenTokensPerStreamMs: 0.1, exportTokensPerS: 0, importTokensPerS: 0 }
-/** Timers may fire a little early by the clock that ages are measured by, in milliseconds. */
-const SETTLE_MS = 20
-/** Time to a first token beside waiting and reading, and to a plain answer, until answers tell better, in milliseconds. */
-const FIRST_TOKEN_MS = 50
-const FIRST_ANSWER_MS = 20
+/** Prefill speed that is assumed until first-token times have been measured, in tokens per second: the order of magnitude of a large model on a few accelerators. */
+const INITIAL_PREFILL_TOKENS_PER_S = 50_000
+/** Initial speed. No platform publishes the time between tokens or what each further stream adds to it; no current latency target comes near these values. */
+const INITIAL_SPEED = { prefillTokensPerS: INITIAL_PREFILL_TOKENS_PER_S, betweenTokensMs: 4, betweenTokensPerStreamMs: 0.1, exportTokensPerS: 0, importTokensPerS: 0 }
+/** Added to timer delays, in milliseconds, since a timer may fire slightly early by the steady clock. */
+const TIMER_MARGIN_MS = 20
+/** Time to the first token beside queueing and prefill, and to a plain response, that are assumed until times have been measured, in milliseconds. */
+const INITIAL_FIRST_TOKEN_MS = 50
+const INITIAL_RESPONSE_MS = 20
 
 /** An endpoint, and the version of the registry at which its entry was written. */
 interface KnownEndpoint extends ListedEndpoint { entryVersion: number }
 
-/** Follows the registry. */
+/** Follows the registry and applies its entries to the endpoint table. */
 export class EndpointFollower {
   readonly #options: EndpointFollowerOptions
   readonly #follower: StoreFollower
-  /** Endpoints believed in, by name. */
-  #known: ReadonlyMap<string, KnownEndpoint> = new Map()
-  readonly #lapsed: LapsedEntries
-  /** Version of the registry that is believed in. */
-  #version = 0
-  #settleTimer: NodeJS.Timeout | undefined
-  /** What each entry was decoded to, by its key; nothing for one that named no endpoint. */
+  /** Endpoints last applied to the table, by name; includes held ones. */
+  #applied: ReadonlyMap<string, KnownEndpoint> = new Map()
+  readonly #lapsedEntries: LapsedEntries
+  /** Version of the registry last applied. */
+  #appliedVersion = 0
+  #expiryTimer: NodeJS.Timeout | undefined
+  /** Decoded entries by key; `endpoint` is undefined for an entry that could not be decoded. */
   #decoded = new Map<string, { version: number, endpoint: KnownEndpoint | undefined }>()
 
   constructor (options: EndpointFollowerOptions) {
     this.#options = options
-    this.#lapsed = new LapsedEntries(options.times)
+    this.#lapsedEntries = new LapsedEntries(options.times)
     this.#follower = new StoreFollower({
       store: options.store,
       prefix: options.prefix,
       random: options.random,
       ...(options.waitMs !== undefined && { waitMs: options.waitMs }),
-      onChange: (objects, news) => this.#take(objects, news.version),
+      onChange: (objects, news) => this.#onAnswer(objects, news.version),
       onReach: (reached, why) => {
         if (reached) log('store-back', { what: 'endpoints' })
         else log('store-lost', { what: 'endpoints', why, lastAnswerAgeMs: this.#follower.listed ? steadyNow() - this.#follower.confirmedAtMs : undefined })
@@ -70,27 +70,27 @@
     })
   }
 
-  /** Begins to follow. */
+  /** Starts following the registry. */
   start (): void {
     this.#follower.start()
   }
 
-  /** Stops. */
+  /** Stops following the registry. */
   stop (): void {
-    clearTimeout(this.#settleTimer)
+    clearTimeout(this.#expiryTimer)
     this.#follower.stop()
   }
 
-  #take (objects: ReadonlyMap<string, StoredObject>, version: number): void {
+  #onAnswer (objects: ReadonlyMap<string, StoredObject>, version: number): void {
     const listed = this.#decodeAll(objects)
-    const vanished = this.#lapsed.take({ entries: this.#entries(objects, listed), version, afterFailure: !this.#follower.reached, now: steadyNow() })
-    this.#tellHeld(vanished, listed)
-    this.#version = version
-    this.#believe([...listed.values(), ...this.#named(this.#lapsed.held)], vanished.gone)
-    this.#settleLater()
+    const vanished = this.#lapsedEntries.take({ entries: this.#entryStates(objects, listed), version, afterFailure: !this.#follower.reached, now: steadyNow() })
+    this.#logHeld(vanished, listed)
+    this.#appliedVersion = version
+    this.#apply([...listed.values(), ...this.#appliedNamed(this.#lapsedEntries.held)], vanished.gone)
+    this.#scheduleExpiry()
   }
 
-  /** Each entry is decoded once for each of its versions: a change of one of many would cost as much as the registry is large. */
+  /** Decodes each version of an entry only once; otherwise a change to one entry would cost as much as decoding the whole registry. */
   #decodeAll (objects: ReadonlyMap<string, StoredObject>): Map<string, KnownEndpoint> {
     const before = this.#decoded
     this.#decoded = new Map([...objects.values()].map((object) => {
@@ -100,7 +100,7 @@
     return new Map([...this.#decoded.values()].flatMap(({ endpoint }) => (endpoint ? [[endpoint.name, endpoint] as const] : [])))
   }
 
-  #entries (objects: ReadonlyMap<string, StoredObject>, listed: ReadonlyMap<string, KnownEndpoint>): Map<string, EntryState> {
+  #entryStates (objects: ReadonlyMap<string, StoredObject>, listed: ReadonlyMap<string, KnownEndpoint>): Map<string, EntryState> {
     return new Map([...objects.values()].map(({ key, version }) => {
       const name = key.slice(this.#options.prefix.length)
       const endpoint = listed.get(name)
@@ -108,19 +108,19 @@
     }))
   }
 
-  /** An attempt at an endpoint whose entry is missing can only be explained by these lines. */
-  #tellHeld ({ held, why, back }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
-    const untilMs = this.#lapsed.untilMs ?? steadyNow()
-    if (held.length > 0) log('endpoints-held', { endpoints: this.#named(held).map(({ id }) => id), why, forMs: Math.round(untilMs - steadyNow()) })
+  /** Logs which endpoints are held. Without these lines, an attempt at an endpoint without an entry could not be explained. */
+  #logHeld ({ held, why, back }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
+    const untilMs = this.#lapsedEntries.untilMs ?? steadyNow()
+    if (held.length > 0) log('endpoints-held', { endpoints: this.#appliedNamed(held).map(({ id }) => id), why, forMs: Math.round(untilMs - steadyNow()) })
     if (back.length > 0) log('endpoints-back', { endpoints: back.flatMap((name) => listed.get(name)?.id ?? []) })
   }
 
-  /** Departures are told first: an endpoint that no list names and that has no work here is forgotten, and the other daemons would not hear of it. */
-  #believe (listed: readonly KnownEndpoint[], gone: readonly string[]): void {
+  /** Applies endpoints to the table. Departures come first: an unlisted endpoint without work here is removed, and its departure would not reach the other daemons. */
+  #apply (listed: readonly KnownEndpoint[], gone: readonly string[]): void {
     const { table } = this.#options
     const goneAtMs = steadyNow() + ASSUMED_NOTICE_MS
-    table.departed(this.#named(gone).map(({ id }) => as<HostId>(id)), { goneAtMs, version: this.#version, signal: 'list' })
-    this.#known = new Map(listed.map((endpoint) => [endpoint.name, endpoint]))
+    table.departed(this.#appliedNamed(gone).map(({ id }) => as<HostId>(id)), { goneAtMs, version: this.#appliedVersion, signal: 'list' })
+    this.#applied = new Map(listed.map((endpoint) => [endpoint.name, endpoint]))
     table.listed(listed.map((endpoint) => this.#hostOf(endpoint)))
     for (const { id, leaving, entryVersion: version } of listed) {
       if (!leaving) continue
@@ -130,29 +130,30 @@
     this.#options.onChange()
   }
 
-  #named (names: readonly string[]): KnownEndpoint[] {
-    return names.flatMap((name) => this.#known.get(name) ?? [])
+  #appliedNamed (names: readonly string[]): KnownEndpoint[] {
+    return names.flatMap((name) => this.#applied.get(name) ?? [])
   }
 
-  /** Entries that did not come back in time are gone, unless the registry is away again: then its next answer decides. */
-  #settleLater (): void {
-    const { untilMs } = this.#lapsed
+  /** Schedules the expiry of held entries. If the registry is unreachable by then, its next answer decides instead. */
+  #scheduleExpiry (): void {
+    const { untilMs } = this.#lapsedEntries
     if (untilMs === undefined) return
-    clearTimeout(this.#settleTimer)
-    this.#settleTimer = setTimeout(() => { if (this.#follower.reached) this.#settle() }, untilMs - steadyNow() + SETTLE_MS)
+    clearTimeout(this.#expiryTimer)
+    this.#expiryTimer = setTimeout(() => { if (this.#follower.reached) this.#expireHeld() }, untilMs - steadyNow() + TIMER_MARGIN_MS)
   }
 
-  #settle (): void {
-    const overdue = this.#lapsed.overdue(steadyNow())
-    this.#settleLater()
+  #expireHeld (): void {
+    const overdue = this.#lapsedEntries.overdue(steadyNow())
+    this.#scheduleExpiry()
     if (overdue.length === 0) return
-    log('endpoints-not-back', { endpoints: this.#named(overdue).map(({ id }) => id) })
-    this.#believe([...this.#known.values()].filter(({ name }) => !overdue.includes(name)), overdue)
+    log('endpoints-not-back', { endpoints: this.#appliedNamed(overdue).map(({ id }) => id) })
+    this.#apply([...this.#applied.values()].filter(({ name }) => !overdue.includes(name)), overdue)
   }
 
   /**
-   * Other programs may write to the registry, too. One entry that makes no sense, or that breaks the decoder, would hide all the others for as long as it stands
-   * there; it names no endpoint, and the others hold.
+   * Decodes an entry; undefined when that fails.
+   *
+   * Other programs may write to the registry, too. An entry that is malformed or makes the decoder throw is skipped, or it would hide all other entries for as long as it exists.
    */
   #decode (object: StoredObject): KnownEndpoint | undefined {
     const name = object.key.slice(this.#options.prefix.length)
@@ -181,9 +182,9 @@
         pool: endpoint.pool,
         ...(endpoint.version !== undefined && { version: endpoint.version }),
         address: endpoint.address,
-        speed: { ...FIRST_SPEED, batchSlots: engine?.batchSlots ?? endpoint.batchSlots },
-        firstMs: engine ? FIRST_TOKEN_MS : FIRST_ANSWER_MS,
-        // Of every pool: which of them are engines may not be known yet when a daemon starts.
+        speed: { ...INITIAL_SPEED, batchSlots: engine?.batchSlots ?? endpoint.batchSlots },
+        firstMs: engine ? INITIAL_FIRST_TOKEN_MS : INITIAL_RESPONSE_MS,
+        // For every pool: when a daemon starts, it may not know yet which pools are model engines.
         learnsPace: true
       }
     }
--- a/daemon/endpoints/endpoint_follower_test.ts
+++ b/daemon/endpoints/endpoint_follower_test.ts
@@ -14,11 +14,11 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-/** A registry whose entries a test sets; a watch brings what changed. */
+/** An in-memory registry whose entries are set by tests; its watch returns the changed entries. */
 class Registry implements Pick<ObjectStore, 'snapshot' | 'changes'> {
   objects: StoredObject[] = []
   #version = 0
-  away = false
+  isDown = false
 
   set (entries: Iterable<[string, string]>): void {
     this.#version++
@@ -31,13 +31,13 @@
   }
 
   async snapshot (): Promise<Snapshot> {
-    if (this.away) throw new StoreError('Cannot list: no answer', { failure: 'unsure' })
+    if (this.isDown) throw new StoreError('Cannot list: no answer', { failure: 'unsure' })
     return { objects: this.objects, version: this.#version }
   }
 
   async changes (_prefix: string, { after }: { after: number }): Promise<Changes> {
     await delay(100)
-    if (this.away) throw new StoreError('Cannot watch: no answer', { failure: 'unsure' })
+    if (this.isDown) throw new StoreError('Cannot watch: no answer', { failure: 'unsure' })
     const objects = this.objects.filter(({ version }) => version > after)
     return { objects, removed: [], version: this.#version }
   }
@@ -50,8 +50,8 @@
   return { table, follower }
 }
 
-test('an entry that makes no sense hides none of the others', async () => {
-  // Every caller is told that there is no endpoint: another program wrote one entry to the registry, and the whole list could not be read.
+test('a malformed entry does not hide the others', async () => {
+  // Guards against rejecting every request for lack of endpoints because one entry that another program wrote makes the whole list unreadable.
   const registry = new Registry()
   registry.set([good(1), ['stray', '{"service":'], ['other', '17'], good(2)])
   const { table, follower } = follow(registry)
@@ -60,8 +60,8 @@
   follower.stop()
 })
 
-test('an entry that breaks its decoder hides none of the others', async () => {
-  // Guards against an entry that ends each daemon that reads it.
+test('an entry that makes the decoder throw does not hide the others', async () => {
+  // Guards against one entry crashing every daemon that reads it.
   const registry = new Registry()
   registry.set([good(1), ['broken', JSON.stringify(GOOD)], good(2)])
   const decode = (name: string, value: unknown) => {
@@ -74,7 +74,7 @@
   follower.stop()
 })
 
-test('a change of one entry is all that is decoded', async () => {
+test('only the changed entry is decoded again', async () => {
   const registry = new Registry()
   registry.set([good(1), good(2), good(3)])
   let decoded = 0
@@ -91,7 +91,7 @@
   follower.stop()
 })
 
-test('an endpoint whose entry is overwritten gets no new work until it makes sense again', async () => {
+test('an endpoint whose entry becomes invalid gets no new work until the entry is valid again', async () => {
   const registry = new Registry()
   registry.set([good(1), good(2)])
   const { table, follower } = follow(registry)
@@ -105,7 +105,7 @@
   follower.stop()
 })
 
-test('whatever bytes stand beside them, the good ones are followed', async () => {
+test('valid entries are followed whatever the other entries contain', async () => {
   const bytes = fc.oneof(fc.string(), fc.json(), fc.uint8Array().map((raw) => Buffer.from(raw).toString('utf8')), fc.tuple(fc.constantFrom(...Object.keys(GOOD)), fc.jsonValue()).map(([key, value]) => JSON.stringify({ ...GOOD, [key]: value, service: 'another' })))
   await fc.assert(fc.asyncProperty(fc.array(fc.tuple(fc.string().map((name) => `x${name}`), bytes), { maxLength: 6 }), async (stray) => {
     const registry = new Registry()
@@ -119,16 +119,16 @@
 
 const usable = (table: EndpointTable) => table.candidates(POOL).map(({ name }) => name).sort()
 
-test('endpoints whose entries lapsed in an outage of the registry go on serving, if they are back soon', async () => {
-  // Every caller is turned away for 14 s: the store was away for longer than entries last, on its return all are missing, and the endpoints stay
-  // marked as leaving though each of them has written itself anew a second later.
+test('endpoints whose entries expired during a registry outage keep serving if the entries return soon', async () => {
+  // Guards against rejecting all requests for 14 s: the store was down for longer than entries live, so all of them are missing when it returns, and
+  // the endpoints stay marked as leaving although each rewrites its entry a second later.
   const registry = new Registry()
   registry.set([good(1), good(2), good(3)])
   const { table, follower } = follow(registry)
   await vi.advanceTimersByTimeAsync(10)
-  registry.away = true
+  registry.isDown = true
   await vi.advanceTimersByTimeAsync(5000)
-  registry.away = false
+  registry.isDown = false
   registry.set([good(3)])
   await vi.advanceTimersByTimeAsync(1200)
   expect(usable(table)).toEqual(['good-1', 'good-2', 'good-3'])
@@ -140,7 +140,7 @@
   follower.stop()
 })
 
-test('where most entries vanish at once the registry is believed to have been away, though nobody saw it', async () => {
+test('when most entries vanish at once, an undetected registry outage is assumed', async () => {
   const registry = new Registry()
   registry.set([good(1), good(2), good(3), good(4)])
   const { table, follower } = follow(registry)
@@ -154,7 +154,7 @@
   follower.stop()
 })
 
-test('an entry that vanishes by itself is an endpoint that is gone', async () => {
+test('when a single entry vanishes, its endpoint is gone', async () => {
   const registry = new Registry()
   registry.set([good(1), good(2), good(3), good(4)])
   const { table, follower } = follow(registry)
@@ -165,9 +165,9 @@
   follower.stop()
 })
 
-test('an endpoint whose entry is written anew after it was gone gets work again at once', async () => {
-  // Half of the endpoints stand idle for half a minute while callers are turned away: they could not reach the registry for a while, their entries
-  // lapsed one by one, and when they were back a peer's late word that they had left still counted.
+test('an endpoint whose entry is rewritten after it was gone gets work again at once', async () => {
+  // Guards against half of the endpoints staying idle for half a minute while requests are rejected: they could not reach the registry, their entries
+  // expired one by one, and after their return a peer's late report of the departure still took effect.
   const registry = new Registry()
   registry.set([good(1), good(2), good(3), good(4)])
   const { table, follower } = follow(registry)
@@ -178,15 +178,15 @@
   registry.set([good(1), good(2), good(3), good(4)])
   await vi.advanceTimersByTimeAsync(500)
   expect(usable(table)).toHaveLength(4)
-  table.leaving([table.startsOf('good-1')[0]!.hostId], steadyNow() + 2000, 'peer')
+  table.leaving([table.instancesOf('good-1')[0]!.hostId], steadyNow() + 2000, 'peer')
   expect(usable(table)).toHaveLength(4)
   await vi.advanceTimersByTimeAsync(6000)
-  table.leaving([table.startsOf('good-1')[0]!.hostId], steadyNow() + 2000, 'peer')
+  table.leaving([table.instancesOf('good-1')[0]!.hostId], steadyNow() + 2000, 'peer')
   expect(usable(table)).toEqual(['good-2', 'good-3', 'good-4'])
   follower.stop()
 })
 
-test('an old entry that a list shows again brings nothing back', async () => {
+test('a stale list that shows an old entry again does not restore its endpoint', async () => {
   const registry = new Registry()
   registry.set([good(1), good(2), good(3), good(4)])
   const { table, follower } = follow(registry)
@@ -200,9 +200,9 @@
   follower.stop()
 })
 
-test('what a pool\'s endpoints are learnt to do does not depend on which was known first, the pool or they', async () => {
-  // Answers of one daemon in five come late until its endpoints are replaced: it read the registry before the configuration, took engines for plain
-  // services, and never learnt how fast they read.
+test('the speed of a pool\'s endpoints is learned whether the pool or its endpoints become known first', async () => {
+  // Guards against late answers from one daemon in five until its endpoints are replaced: it read the registry before the configuration, took model
+  // engines for plain services, and never learned their prefill speed.
   const registry = new Registry()
   registry.set([good(1), good(2)])
   const { table, follower } = follow(registry)
--- a/daemon/endpoints/endpoint_listing.ts
+++ b/daemon/endpoints/endpoint_listing.ts
@@ -1,24 +1,24 @@
-/** An endpoint as a platform's registry lists it. */
+/** Endpoint entries of a platform's registry. */
 import type { EndpointId, EndpointVersion, FailureDomain, PoolName } from '../../core/ids/index.ts'
 
-/** One entry of the registry. */
+/** One entry of the registry, decoded. */
 export interface ListedEndpoint {
-  /** Of this start of the endpoint. */
+  /** Identifies this start of the endpoint. */
   id: EndpointId
-  /** What the platform calls the endpoint, at each start. */
+  /** Name that the platform gives the endpoint; the same after a restart. */
   name: string
-  /** When it started, in milliseconds since the epoch; 0 where each start has a name of its own. */
+  /** Start time, in milliseconds since the epoch; 0 on platforms that give each start a new name. */
   startedAtMs: number
   pool: PoolName
-  /** Version of its software; undefined where it does not say. */
+  /** Software version; undefined when the endpoint does not report it. */
   version: EndpointVersion | undefined
-  /** IP number and port. */
+  /** IP address and port. */
   address: string
   failureDomain: FailureDomain
-  /** Requests that it works on together. */
+  /** Maximum number of requests that it processes concurrently. */
   batchSlots: number
-  /** May be reclaimed with its whole failure domain. */
+  /** Whether it may be reclaimed, along with its whole failure domain. */
   reclaimable: boolean
-  /** Set once it is leaving, with the time left where that is known. */
+  /** Set once it is leaving, with the time left, in milliseconds, if known. */
   leaving: { inMs: number | undefined } | undefined
 }
--- a/daemon/endpoints/endpoint_table.ts
+++ b/daemon/endpoints/endpoint_table.ts
@@ -1,4 +1,4 @@
-/** The endpoints as one daemon sees them, out of every signal that tells of them. */
+/** One daemon's view of the endpoints, combined from every source that reports on them. */
 import type { DaemonId, EndpointId, EndpointVersion, HostId, PoolName } from '../../core/ids/index.ts'
 import { Departures, NewestStarts, type Departure } from '../../core/registry/index.ts'
 import {
@@ -10,38 +10,38 @@
 import type { ListedHost } from '../../endpoints/index.ts'
 import { log } from '../log/index.ts'
 
-/** Which signal told that an endpoint is leaving. Any one is enough. */
+/** Source of the information that an endpoint is leaving. Any one is sufficient. */
 export type LeavingSignal = 'notice' | 'list' | 'refusal' | 'peer'
 
-/** Called when an endpoint is first known to leave, and again when the time left becomes shorter. */
+/** Called when endpoints are first known to be leaving, and again when a notice or a peer changes the time left. */
 export type LeavingListener = (leaving: Array<Departure & { view: EndpointView, signal: LeavingSignal }>) => void
 
-/** Called with each endpoint whose process ended, as its next start shows; `announced` when it had said before that it leaves. */
+/** Called with each endpoint whose process was replaced by a later start; `announced` is true when it was known to be leaving. */
 export type ReplacedListener = (id: EndpointId, end: { announced: boolean }) => void
 
-/** Prompt tokens of one request that an endpoint has to read, and in which lane. */
+/** Prompt tokens of one request that an endpoint has to process, and the lane that they queue in. */
 export interface SentWork { lane: Lane, tokens: number }
 
 /** Options of {@linkcode EndpointTable}. */
 export interface EndpointTableOptions {
   self: DaemonId
   hash: Hash32
-  /** Endpoints of one pool that this daemon connects to. Default {@linkcode SUBSET_SIZE}. */
+  /** Number of endpoints of one pool that this daemon connects to. Default {@linkcode SUBSET_SIZE}. */
   subsetSize?: number
 }
 
-/** Endpoints of one pool that a daemon connects to. */
+/** Default number of endpoints of one pool that a daemon connects to. */
 export const SUBSET_SIZE = 24
-/** Time left that is assumed when a signal does not tell it, in milliseconds: the shortest notice seen. */
+/** Time left that is assumed when a leaving signal does not state it, in milliseconds: the shortest notice observed. */
 export const ASSUMED_NOTICE_MS = 2000
 
 const MS_PER_S = 1000
-/** An endpoint that went silent gets no work for this long, in milliseconds; the registry names those that are gone within four times as long. */
-const SILENT_MS = 1000
-/** Longer than the list lags, in milliseconds. */
-const TAKE_BACK_MS = 30_000
+/** How long an unresponsive endpoint gets no work, in milliseconds. The registry reports endpoints that are gone within four times as long. */
+const SILENCE_EJECTION_MS = 1000
+/** A host still listed as live this long after its departure time is used again, in milliseconds; longer than the list lags. */
+const RESTORE_AFTER_MS = 30_000
 
-/** Holds a view of each endpoint. Owned by the broker; everybody else sends it signals. */
+/** Holds a view of each endpoint. Owned by the broker; other components only report events to it. */
 export class EndpointTable {
   readonly #options: EndpointTableOptions
   readonly #views = new Map<EndpointId, EndpointView>()
@@ -54,30 +54,30 @@
   readonly #goneAt = new Map<EndpointId, number>()
   readonly #departures = new Departures()
   readonly #starts = new NewestStarts()
-  #mayServe: (view: EndpointView) => boolean = () => true
-  #listeners: LeavingListener[] = []
+  #mayGetWork: (view: EndpointView) => boolean = () => true
+  #leavingListeners: LeavingListener[] = []
   #onReplaced: ReplacedListener = () => {}
-  /** Endpoints that the last list named. */
-  #listed: ReadonlySet<EndpointId> = new Set()
+  /** Endpoints in the last host list. */
+  #listedIds: ReadonlySet<EndpointId> = new Set()
   #listedAtMs: number | undefined
-  #othersAtMs: number | undefined
+  #othersReportedAtMs: number | undefined
 
   constructor (options: EndpointTableOptions) {
     this.#options = options
   }
 
-  /** Every endpoint known. */
+  /** All known endpoints. */
   get all (): EndpointView[] { return [...this.#views.values()] }
 
-  /** Milliseconds since the platform last listed the endpoints; undefined before it did. */
+  /** Milliseconds since the last host list; undefined before the first. */
   get listAgeMs (): number | undefined { return ageOf(this.#listedAtMs) }
-  /** Milliseconds since anybody told of work that this daemon did not send. */
-  get othersAgeMs (): number | undefined { return ageOf(this.#othersAtMs) }
+  /** Milliseconds since the last report of work that other daemons sent; undefined before the first. */
+  get othersAgeMs (): number | undefined { return ageOf(this.#othersReportedAtMs) }
 
   /** Looks up an endpoint. */
   get (id: EndpointId): EndpointView | undefined { return this.#views.get(id) }
 
-  /** The endpoints of a pool that this daemon uses. */
+  /** The subset of a pool's usable endpoints that this daemon connects to. */
   candidates (pool: PoolName): readonly EndpointView[] {
     let chosen = this.#subsets.get(pool)
     if (!chosen) {
@@ -87,93 +87,92 @@
     return chosen
   }
 
-  #forgetChoices (): void {
+  #clearSelections (): void {
     this.#subsets.clear()
     this.#usable.clear()
   }
 
-  /** All endpoints of a pool that may get work. */
+  /** All endpoints of a pool that may get new work. */
   usable (pool: PoolName): readonly EndpointView[] {
     let usable = this.#usable.get(pool)
     if (!usable) {
-      usable = this.#serving(pool).filter(this.#mayServe)
+      usable = this.#serving(pool).filter(this.#mayGetWork)
       this.#usable.set(pool, usable)
     }
     return usable
   }
 
-  /** Endpoints of a pool that serve and run a version, whether they may get work or not. */
+  /** Endpoints of a pool that serve and run a version, regardless of {@linkcode EndpointTable.restrictTo}. */
   ofVersion (pool: PoolName, version: EndpointVersion): readonly EndpointView[] {
     return this.#serving(pool).filter((view) => view.version === version)
   }
 
-  /** Gives work to those endpoints only for which the rule holds; called again when the rule changes. */
-  restrict (mayServe: (view: EndpointView) => boolean): void {
-    this.#mayServe = mayServe
-    this.#forgetChoices()
+  /** Limits new work to the endpoints for which the predicate holds; call again whenever its result changes. */
+  restrict (mayGetWork: (view: EndpointView) => boolean): void {
+    this.#mayGetWork = mayGetWork
+    this.#clearSelections()
   }
 
   #serving (pool: PoolName): EndpointView[] {
-    return this.all.filter((view) => view.pool === pool && view.leavingAtMs === undefined && this.#listed.has(view.id))
+    return this.all.filter((view) => view.pool === pool && view.leavingAtMs === undefined && this.#listedIds.has(view.id))
   }
 
-  /** Registers a listener. */
+  /** Adds a listener for leaving endpoints. */
   onLeaving (listener: LeavingListener): void {
-    this.#listeners.push(listener)
+    this.#leavingListeners.push(listener)
   }
 
-  /** When a leaving endpoint will be gone, in milliseconds since the epoch. */
+  /** When a leaving endpoint will be gone, in milliseconds on the steady clock; undefined for one that is not leaving. */
   goneAtMs (id: EndpointId): number | undefined { return this.#goneAt.get(id) }
 
   /**
-   * Takes in the platform's host list.
+   * Applies the platform's host list.
    *
-   * The list lags: an endpoint that any other signal called leaving stays leaving although the list still shows it live, or it
-   * would get new work again.
+   * The list lags behind the other signals: an endpoint that any of them reported as leaving stays so while the list still shows it as live, or it would get new work again.
    */
   listed (hosts: readonly ListedHost[]): void {
-    // No fleet loses all of its hosts between two lists; a list that was not filled yet would drop every endpoint.
+    // An empty list means that the platform has not filled it yet: no fleet loses all hosts between two lists, and applying it would remove every endpoint.
     if (hosts.length === 0) return
     this.#listedAtMs = steadyNow()
     const current = hosts.filter((host) => this.#isNewestStart(host))
-    const listed = new Set(current.map((host) => host.endpoint.id))
-    this.#listed = listed
+    const listedIds = new Set(current.map((host) => host.endpoint.id))
+    this.#listedIds = listedIds
     for (const { state, hostId, version } of current) if (state === 'live' && version !== undefined) this.#departures.shown(hostId, { version, now: steadyNow() })
     for (const host of current) if (!this.#views.has(host.endpoint.id)) this.#add(host)
-    for (const view of this.all) if (!listed.has(view.id) && view.own.running === 0) this.#drop(view)
-    this.#forgetChoices()
-    this.#forgetGone()
-    for (const host of current) if (host.state === 'live') this.#takeBack(host)
-    // With a version it comes as a departure, which knows more.
+    for (const view of this.all) if (!listedIds.has(view.id) && view.own.running === 0) this.#remove(view)
+    this.#clearSelections()
+    this.#pruneRecords()
+    for (const host of current) if (host.state === 'live') this.#restoreIfReturned(host)
+    // Hosts with a registry version are reported through `departed`, which carries the version and the time left.
     const leaving = current.filter((host) => host.state === 'leaving' && host.version === undefined && !this.#goneAt.has(host.endpoint.id))
     this.leaving(leaving.map((host) => host.hostId), steadyNow() + ASSUMED_NOTICE_MS, 'list')
   }
 
-  /** Every start known of an endpoint, by what the platform calls it. */
-  startsOf (name: string): EndpointView[] {
+  /** All known starts of the endpoint that the platform calls by this name. */
+  instancesOf (name: string): EndpointView[] {
     return this.all.filter((view) => nameOf(view) === name)
   }
 
-  /** Registers the listener for endpoints that were replaced. */
+  /** Sets the listener for endpoints whose process was replaced. */
   onReplaced (listener: ReplacedListener): void {
     this.#onReplaced = listener
   }
 
   /**
-   * Notes a start, and tells whether none later is known.
+   * Records a start of an endpoint and returns whether it is the latest one known.
    *
-   * Lists are stale: one of before the start shows the old process again, and it would get work that no process runs.
+   * A stale list may show an earlier process again; without this check that process, which no longer exists, would get work.
    */
   #isNewestStart ({ endpoint }: ListedHost): boolean {
     const name = nameOf(endpoint)
     const start = this.#starts.listed(name, endpoint.startedAtMs ?? 0, steadyNow())
-    if (start === 'later') this.#endBefore(name, endpoint.id)
+    if (start === 'later') this.#endEarlierInstances(name, endpoint.id)
     return start !== 'earlier'
   }
 
-  /** The process of before is gone: what is believed of it counts no more, and what it was sent ends now, not at its deadline. */
-  #endBefore (name: string, started: EndpointId): void {
-    for (const view of this.startsOf(name)) {
+  /** Ends the earlier processes of a restarted endpoint, so that requests sent to them fail now and not at their deadlines. */
+  #endEarlierInstances (name: string, started: EndpointId): void {
+    for (const view of this.instancesOf(name)) {
       if (view.id === started) continue
       log('endpoint-restarted', { endpoint: view.id, by: started })
       const announced = view.leavingAtMs !== undefined
@@ -182,32 +181,32 @@
     }
   }
 
-  /** Takes in a signal that hosts are leaving, from anybody but the registry. */
+  /** Marks hosts as leaving, by any signal other than the registry. */
   leaving (hosts: readonly HostId[], goneAtMs: number, signal: LeavingSignal): void {
-    this.#leave(hosts, { goneAtMs, signal })
+    this.#applyLeaving(hosts, { goneAtMs, signal })
   }
 
-  /** Takes in that the registry shows hosts as leaving or gone as of a version, or that a peer says so. */
+  /** Marks hosts as leaving or gone as of a registry version, reported by the registry or a peer. */
   departed (hosts: readonly HostId[], departure: Departure & { version: number, signal: LeavingSignal }): void {
-    this.#leave(hosts, departure)
+    this.#applyLeaving(hosts, departure)
   }
 
-  #leave (hosts: readonly HostId[], { goneAtMs, version, signal }: Departure & { signal: LeavingSignal }): void {
+  #applyLeaving (hosts: readonly HostId[], { goneAtMs, version, signal }: Departure & { signal: LeavingSignal }): void {
     const news: Parameters<LeavingListener>[0] = []
     for (const host of hosts) {
       if (signal === 'peer' && this.#departures.isOld(host, { version, now: steadyNow() })) continue
       const id = this.#byHost.get(host)
       if (id === undefined) this.#departures.note(host, { goneAtMs, version })
-      else if (this.#isNews(id, goneAtMs, signal)) news.push({ view: this.#markLeaving(id, { goneAtMs, version }), goneAtMs, version, signal })
+      else if (this.#addsInformation(id, goneAtMs, signal)) news.push({ view: this.#markLeaving(id, { goneAtMs, version }), goneAtMs, version, signal })
       else this.#departures.note(host, { goneAtMs, version })
     }
     if (news.length === 0) return
-    this.#forgetChoices()
-    for (const listener of this.#listeners) listener(news)
+    this.#clearSelections()
+    for (const listener of this.#leavingListeners) listener(news)
   }
 
-  /** A notice or a peer that passes one on knows the time; a guess never replaces it. */
-  #isNews (id: EndpointId, goneAtMs: number, signal: LeavingSignal): boolean {
+  /** Whether a signal adds information. Notices, and peers that relay them, know the departure time; an assumed time never replaces it. */
+  #addsInformation (id: EndpointId, goneAtMs: number, signal: LeavingSignal): boolean {
     const known = this.#goneAt.get(id)
     if (known === undefined) return true
     return (signal === 'notice' || signal === 'peer') && goneAtMs !== known
@@ -221,30 +220,30 @@
     return view
   }
 
-  /** Takes in a load report that came with a response, this daemon's own work included. */
+  /** Applies a load report that came with a response; it includes this daemon's own work. */
   loaded (id: EndpointId, load: EndpointLoad): void {
     const view = this.#views.get(id)
     if (!view) return
-    this.#othersAtMs = steadyNow()
+    this.#othersReportedAtMs = steadyNow()
     view.others = {
       running: Math.max(0, load.running - view.own.running),
       unread: { urgent: 0, normal: Math.max(0, load.queuedTokens - unreadBefore(view.own, 'late')), late: 0 }
     }
   }
 
-  /** Takes in what the other daemons run; where nothing is said of an endpoint, they run nothing. */
+  /** Applies the load that the other daemons put on each endpoint; endpoints that are not mentioned have none. */
   othersWork (loads: readonly EndpointWork[]): void {
-    this.#othersAtMs = steadyNow()
-    const told = new Map(loads)
-    for (const view of this.#views.values()) view.others = told.get(view.id) ?? noWork()
+    this.#othersReportedAtMs = steadyNow()
+    const byEndpoint = new Map(loads)
+    for (const view of this.#views.values()) view.others = byEndpoint.get(view.id) ?? noWork()
   }
 
-  /** What this daemon runs, where it runs anything. */
+  /** This daemon's load on each endpoint where it has any. */
   get ownWork (): EndpointWork[] {
     return this.all.filter((view) => view.own.running > 0).map((view) => [view.id, view.own])
   }
 
-  /** Counts own work at once, before anybody tells of it. */
+  /** Counts a request that this daemon sent, before any load report includes it. */
   started (id: EndpointId, work: SentWork): void {
     const view = this.#views.get(id)
     if (!view) return
@@ -252,19 +251,19 @@
     view.own.unread[work.lane] += work.tokens
   }
 
-  /** An endpoint has read the prompt of own work. */
+  /** Records that an endpoint has processed the prompt of a request from this daemon. */
   read (id: EndpointId, work: SentWork): void {
     const view = this.#views.get(id)
     if (view) view.own.unread[work.lane] = Math.max(0, view.own.unread[work.lane] - work.tokens)
   }
 
-  /** Own work ended. */
+  /** Records that a request from this daemon has ended. */
   ended (id: EndpointId): void {
     const view = this.#views.get(id)
     if (view) view.own.running = Math.max(0, view.own.running - 1)
   }
 
-  /** Learns from a first token how fast an endpoint is. */
+  /** Updates the speed estimates of an endpoint and its pool from the time of a first token. */
   learnt (id: EndpointId, sample: FirstTokenSample): void {
     const view = this.#views.get(id)
     if (!view) return
@@ -272,7 +271,7 @@
     if (sample.unreadTokens !== undefined) this.#paces.get(view.pool)?.learn({ unreadTokens: sample.unreadTokens, firstMs: sample.actualMs })
   }
 
-  /** Learns from two pieces of one stream how far apart they came. */
+  /** Updates the estimates of the gap between stream pieces, of an endpoint and its pool. */
   paused (id: EndpointId, pauseMs: number): void {
     const view = this.#views.get(id)
     const now = steadyNow()
@@ -280,40 +279,40 @@
     view?.poolRhythm?.learn(pauseMs, now)
   }
 
-  /** How long first tokens take at a pool's endpoints; undefined while none is known. */
+  /** Estimate of the time to a first token at a pool's endpoints; undefined while the pool has no endpoint. */
   pace (pool: PoolName): Pace | undefined {
-    const learnt = this.#paces.get(pool)
-    if (learnt) return learnt
+    const learntPace = this.#paces.get(pool)
+    if (learntPace) return learntPace
     const view = this.all.find((each) => each.pool === pool)
     return view && paceOf(view)
   }
 
-  /** An endpoint gave a word of any kind. */
+  /** Records that an endpoint sent data of any kind. */
   heard (id: EndpointId): void {
     const view = this.#views.get(id)
     if (view) view.heardAtMs = steadyNow()
   }
 
-  /** When an endpoint gave its last word, in milliseconds on the steady clock; never for one that gave none. */
+  /** When an endpoint last sent data, in milliseconds on the steady clock; `-Infinity` for an unknown endpoint. */
   lastWordAtMs (id: EndpointId): number {
     return this.#views.get(id)?.heardAtMs ?? -Infinity
   }
 
-  /** How far apart pieces of an endpoint's pool come; undefined where none came lately. */
+  /** Typical gap between stream pieces in an endpoint's pool, in milliseconds; undefined when none came recently. */
   usualPauseMs (id: EndpointId): number | undefined {
     return this.#views.get(id)?.poolRhythm?.pauseMs(steadyNow())
   }
 
-  /** An endpoint that has work gives no word: it gets no more for a while. */
+  /** Stops sending work for a while to an endpoint that has requests but sends no data. */
   silent (id: EndpointId): void {
     const view = this.#views.get(id)
     const now = steadyNow()
     if (!view || view.ejectedUntilMs > now) return
-    view.ejectedUntilMs = now + SILENT_MS
-    log('endpoint-silent', { endpoint: id, wordAgeMs: Math.round(now - (view.heardAtMs ?? now)), forMs: SILENT_MS })
+    view.ejectedUntilMs = now + SILENCE_EJECTION_MS
+    log('endpoint-silent', { endpoint: id, wordAgeMs: Math.round(now - (view.heardAtMs ?? now)), forMs: SILENCE_EJECTION_MS })
   }
 
-  /** An attempt failed for a reason of the endpoint's. */
+  /** Counts an attempt that failed because of the endpoint; repeated failures eject it for a while. */
   failed (id: EndpointId): void {
     const view = this.#views.get(id)
     if (!view) return
@@ -323,30 +322,33 @@
     view.ejectedUntilMs = count.untilMs
   }
 
-  /** An attempt succeeded. */
+  /** Resets an endpoint's failure count after a successful attempt. */
   succeeded (id: EndpointId): void {
     this.#failures.delete(id)
   }
 
-  /** True when failures there say nothing about the rest: retries away from it are no storm. */
+  /** Whether an endpoint is leaving or unknown. Its failures say nothing about the other endpoints, so retries elsewhere don't risk a retry storm. */
   isGone (id: EndpointId): boolean {
     const view = this.#views.get(id)
     return !view || view.leavingAtMs !== undefined
   }
 
-  /** Its entry was written after it left; or, a reclaim called off or a refusal that had another cause, it is still listed as live long after its time. */
-  #takeBack ({ hostId, endpoint: { id } }: ListedHost): void {
+  /**
+   * Uses a leaving endpoint again when its registry entry was written after its departure, or when it is still listed as live long after its departure time: the reclaim was
+   * cancelled, or the refusal had another cause.
+   */
+  #restoreIfReturned ({ hostId, endpoint: { id } }: ListedHost): void {
     const goneAtMs = this.#goneAt.get(id)
     if (goneAtMs === undefined) return
     const writtenSince = this.#departures.of(hostId) === undefined
-    if (!writtenSince && steadyNow() < goneAtMs + TAKE_BACK_MS) return
+    if (!writtenSince && steadyNow() < goneAtMs + RESTORE_AFTER_MS) return
     this.#goneAt.delete(id)
     this.#departures.returned(hostId, steadyNow())
     this.#views.get(id)!.leavingAtMs = undefined
     log('endpoint-taken-back', { endpoint: id })
   }
 
-  #forgetGone (): void {
+  #pruneRecords (): void {
     const now = steadyNow()
     this.#departures.forget(now, (host) => this.#byHost.has(host))
     this.#starts.forget(now)
@@ -396,7 +398,7 @@
     return rhythm
   }
 
-  #drop (view: EndpointView): void {
+  #remove (view: EndpointView): void {
     this.#views.delete(view.id)
     log('endpoint-gone', { endpoint: view.id })
     this.#byHost.delete(view.hostId)
--- a/daemon/endpoints/endpoint_table_test.ts
+++ b/daemon/endpoints/endpoint_table_test.ts
@@ -11,7 +11,7 @@
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-/** One start of the endpoint `i-1`, as a list shows it. */
+/** One start of the endpoint `i-1`, as it appears in a host list. */
 function start (atMs: number, state: ListedHost['state'] = 'live'): ListedHost {
   const id = endpointId('i-1', atMs)
   return { hostId: as<HostId>(id), hostClass: POOL, failureDomain: as('a'), reclaimable: true, pricePerHour: 0, state, endpoint: { id, name: 'i-1', startedAtMs: atMs, pool: POOL, address: '10.0.0.1:80', speed: SPEED } }
@@ -21,9 +21,9 @@
 const tableOf = () => new EndpointTable({ self: as<DaemonId>('d'), hash: (text) => text.length })
 const idsOf = (table: EndpointTable) => table.candidates(POOL).map(({ id }) => id).sort()
 
-test('nothing believed of a process counts for the one that starts after it under the same name', () => {
-  // Callers are turned away, or sent where nothing is kept: an endpoint that was leaving, failing and full starts again empty, and the daemon
-  // goes on believing what it knew of the process before.
+test('a restarted endpoint does not inherit the state of its previous process', () => {
+  // Guards against rejected or misrouted requests: an endpoint that was leaving, failing and full restarts empty, and the daemon keeps the state of the
+  // previous process.
   const table = tableOf()
   table.listed([start(1000), other])
   table.started(FIRST, { lane: 'normal', tokens: 500 })
@@ -36,7 +36,7 @@
   expect(table.get(SECOND)).toMatchObject({ own: { running: 0 }, slowness: 1, leavingAtMs: undefined, ejectedUntilMs: 0 })
 })
 
-test('news of the process before does not make the next one leave', () => {
+test('a leaving signal for the previous process does not affect the next one', () => {
   const table = tableOf()
   table.listed([start(2000), other])
   table.leaving([as<HostId>(FIRST)], steadyNow() + 2000, 'peer')
@@ -54,8 +54,8 @@
   expect(idsOf(table)).toEqual([SECOND, 'i-2'])
 })
 
-test('work at a process that was replaced is told so at once, and does not count for the next one', () => {
-  // A caller waits until its deadline: the endpoint was cut off, crashed and started again, and the open connection says nothing.
+test('work on a replaced process is ended at once, and does not count for the next one', () => {
+  // Guards against a caller waiting until its deadline: the endpoint was partitioned, crashed and restarted, and the open connection shows no error.
   const table = tableOf()
   const replaced: EndpointId[] = []
   table.onReplaced((id) => replaced.push(id))
@@ -71,8 +71,8 @@
   expect(replaced).toEqual([FIRST])
 })
 
-test('an endpoint whose entry is gone or makes no sense gets no new work while its work goes on', () => {
-  // A request is sent to an endpoint that the registry no longer names: as long as work ran there, it stayed a candidate.
+test('an endpoint whose entry is gone or invalid gets no new work while its running work continues', () => {
+  // Guards against requests to an endpoint that the registry no longer lists: as long as work ran there, it stayed a candidate.
   const table = tableOf()
   table.listed([start(1000), other])
   table.started(FIRST, { lane: 'normal', tokens: 500 })
--- a/daemon/endpoints/host_watch.ts
+++ b/daemon/endpoints/host_watch.ts
@@ -11,19 +11,19 @@
   table: EndpointTable
   membership: MembershipTask
   random: () => number
-  /** Milliseconds between readings of the list, up to 40 daemons; in proportion to their number above. Default 2,000. */
+  /** Time between reads of the host list with up to 40 daemons, in milliseconds; grows in proportion to their number above that. Default 2,000. */
   listEveryMs?: number
-  /** Called after each reading of the list. */
+  /** Called after each host list that was applied. */
   onListed?: () => void
 }
 
 const LIST_EVERY_MS = 2000
 const NOTICE_WAIT_MS = 20_000
-/** Daemons that together read the list once each in its period; with more, all read it more rarely. */
-const READERS = 40
+/** Up to this many daemons, each reads the list once per period; with more, the period grows so that the total request rate stays the same. */
+const FULL_RATE_DAEMONS = 40
 const RETRY_MS = 500
 
-/** Reads the list now and then, waits for notices, and passes leaving hosts on to the other daemons. */
+/** Reads the host list periodically, waits for reclaim notices, and shares leaving hosts with the other daemons. */
 export class HostWatch {
   readonly #options: HostWatchOptions
   #stopped = false
@@ -33,12 +33,12 @@
     this.#options = options
     options.membership.links.handle('hosts', async () => this.#lastList)
     shareLeavingNews(options.table, options.membership)
-    options.membership.onMember(() => { if (options.table.all.length === 0) this.#listOfPeers() })
+    options.membership.onMember(() => { if (options.table.all.length === 0) this.#fetchFromPeers() })
   }
 
-  /** Reads the list once, then goes on by itself. */
+  /** Reads the list once, then follows the list and the notices in the background. */
   async start (): Promise<void> {
-    await this.#list()
+    await this.#refresh()
     this.#followList()
     this.#followNotices()
   }
@@ -51,20 +51,20 @@
   async #followList (): Promise<void> {
     const everyMs = this.#options.listEveryMs ?? LIST_EVERY_MS
     while (!this.#stopped) {
-      // What one daemon reads of hosts that leave, all hear: the more daemons there are, the more rarely each needs to look.
-      const turns = Math.max(1, this.#options.membership.working.length / READERS)
-      await delay(everyMs * turns * (0.75 + this.#options.random() / 2))
-      await this.#list()
+      // A leaving host that one daemon sees is shared with all, so the more daemons there are, the less often each needs to read.
+      const periods = Math.max(1, this.#options.membership.working.length / FULL_RATE_DAEMONS)
+      await delay(everyMs * periods * (0.75 + this.#options.random() / 2))
+      await this.#refresh()
     }
   }
 
-  async #list (): Promise<void> {
-    const hosts = await this.#listOfCloud()
-    if (hosts.length === 0) return await this.#listOfPeers()
-    this.#take(hosts)
+  async #refresh (): Promise<void> {
+    const hosts = await this.#fetchFromCloud()
+    if (hosts.length === 0) return await this.#fetchFromPeers()
+    this.#apply(hosts)
   }
 
-  async #listOfCloud (): Promise<ListedHost[]> {
+  async #fetchFromCloud (): Promise<ListedHost[]> {
     try {
       return await this.#options.cloud.hosts()
     } catch (err) {
@@ -73,17 +73,17 @@
     }
   }
 
-  /** A daemon that starts while the cloud gives no list would know no endpoint; any other daemon's last list will do. */
-  async #listOfPeers (): Promise<void> {
+  /** Gets the last list of another daemon: without it, a daemon that starts while the cloud returns no list would know no endpoints. */
+  async #fetchFromPeers (): Promise<void> {
     const { membership, table } = this.#options
     for (const id of membership.core.neighbours) {
       if (table.all.length > 0) return
       const hosts = await membership.links.call(membership.core.member(id)!, 'hosts', null).catch(() => []) as ListedHost[]
-      if (hosts.length > 0) this.#take(hosts)
+      if (hosts.length > 0) this.#apply(hosts)
     }
   }
 
-  #take (hosts: ListedHost[]): void {
+  #apply (hosts: ListedHost[]): void {
     this.#lastList = hosts
     this.#options.table.listed(hosts)
     this.#options.onListed?.()
--- a/daemon/endpoints/lapsed_entries_test.ts
+++ b/daemon/endpoints/lapsed_entries_test.ts
@@ -1,4 +1,4 @@
-// Guards against taking the entries that come back one at a time after an outage for one more outage, in which a departure counts as a lapse.
+// Guards against treating entries that return one at a time after an outage as another outage, during which a departure would count as an expired entry.
 import fc from 'fast-check'
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { as, type DaemonId, type PoolName } from '../../core/ids/index.ts'
@@ -9,10 +9,10 @@
 
 const POOL = as<PoolName>('llm')
 const ENDPOINTS = 9
-/** Time in which no daemon may give new work to an endpoint any more, in milliseconds. */
+/** Time after a departure from which on no daemon may send the endpoint new work, in milliseconds. */
 const LEAVING_MS = 2000
-/** Time that news takes here: a watch is answered at once, a call that failed is tried again within a second. */
-const NEWS_MS = 50
+/** Propagation times in this test, in milliseconds: a watch is answered at once, a failed call is retried within a second. */
+const PROPAGATION_MS = 50
 const RETRY_MS = 1000
 
 beforeEach(() => { vi.useFakeTimers() })
@@ -20,8 +20,8 @@
 
 const ALL = Array.from({ length: ENDPOINTS }, (_, i) => `endpoint-${i}`)
 
-/** A registry, the endpoints that write to it, and one daemon's table that follows it. */
-class Rig {
+/** A registry, endpoints that write to it, and one daemon's table that follows it. */
+class RegistryFixture {
   readonly store = new StandInStore()
   readonly table = new EndpointTable({ self: as<DaemonId>('d'), hash: (text) => text.length })
   readonly #follower = new EndpointFollower({ store: this.store, prefix: 'servers/', decode: decodeEndpoint, table: this.table, random: () => 0.5, pool: () => undefined, onChange: () => {} })
@@ -30,14 +30,14 @@
   async start (): Promise<void> {
     for (const name of ALL) await this.write(name)
     this.#follower.start()
-    await vi.advanceTimersByTimeAsync(NEWS_MS)
+    await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
   }
 
   stop (): void {
     this.#follower.stop()
   }
 
-  /** An endpoint's entry as it writes it after a lapse: anew. */
+  /** Creates an endpoint's entry, as the endpoint does at its start and after the entry has expired. */
   async write (name: string): Promise<void> {
     await this.store.create(`servers/${name}`, JSON.stringify({ service: POOL, address: `10.0.0.${ALL.indexOf(name) + 1}:80`, zone: 'a', slots: 64, state: 'ready', sequence: this.#writes++ }))
   }
@@ -52,134 +52,134 @@
   }
 }
 
-async function follow (): Promise<Rig> {
-  const rig = new Rig()
-  await rig.start()
-  expect(rig.usable).toEqual(ALL)
-  return rig
+async function follow (): Promise<RegistryFixture> {
+  const fixture = new RegistryFixture()
+  await fixture.start()
+  expect(fixture.usable).toEqual(ALL)
+  return fixture
 }
 
-/** The registry is away without a word, for longer than entries last. */
-async function silence (rig: Rig): Promise<void> {
-  rig.store.fallSilent()
+/** Makes the registry unresponsive, without errors, for longer than entries live. */
+async function runSilentOutage (fixture: RegistryFixture): Promise<void> {
+  fixture.store.fallSilent()
   await vi.advanceTimersByTimeAsync(6000)
-  rig.expire(ALL)
-  rig.store.speakAgain()
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  fixture.expire(ALL)
+  fixture.store.speakAgain()
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
 }
 
-test('an endpoint that leaves when all are back from an outage of the registry gets no new work', async () => {
-  const rig = await follow()
-  await silence(rig)
-  expect(rig.usable).toEqual(ALL)
+test('an endpoint that leaves once all entries are back after a registry outage gets no new work', async () => {
+  const fixture = await follow()
+  await runSilentOutage(fixture)
+  expect(fixture.usable).toEqual(ALL)
   await vi.advanceTimersByTimeAsync(950)
   for (const name of ALL) {
-    await rig.write(name)
+    await fixture.write(name)
     await vi.advanceTimersByTimeAsync(70)
   }
   await vi.advanceTimersByTimeAsync(1670)
-  expect(rig.usable).toEqual(ALL)
-  rig.expire([ALL[4]!])
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
-  expect(rig.usable).toEqual(ALL.filter((name) => name !== ALL[4]))
-  rig.stop()
+  expect(fixture.usable).toEqual(ALL)
+  fixture.expire([ALL[4]!])
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
+  expect(fixture.usable).toEqual(ALL.filter((name) => name !== ALL[4]))
+  fixture.stop()
 })
 
-test('an endpoint that leaves long after the registry answers again gets no new work, though nothing had changed since', async () => {
-  // Guards against taking the registry for away until a watch has something to tell, and what it tells first for a lapse.
-  const rig = await follow()
-  rig.store.cutWatches()
+test('an endpoint that leaves long after a registry outage gets no new work, even if its departure is the first change since', async () => {
+  // Guards against considering the registry unreachable until a watch reports a change, and treating that first change as an expired entry.
+  const fixture = await follow()
+  fixture.store.cutWatches()
   await vi.advanceTimersByTimeAsync(6000)
-  rig.expire([ALL[4]!])
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
-  expect(rig.usable).not.toContain(ALL[4])
-  rig.stop()
+  fixture.expire([ALL[4]!])
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
+  expect(fixture.usable).not.toContain(ALL[4])
+  fixture.stop()
 })
 
-/** What happens to a registry and its endpoints, each after a pause in milliseconds. */
+/** Events of a registry and its endpoints; each follows a pause in milliseconds. */
 type Step = { type: 'leave', which: number } | { type: 'away', how: 'silent' | 'refuses', forMs: number } | { type: 'cut' }
 const step = fc.tuple(fc.integer({ min: 20, max: 3500 }), fc.oneof(
   fc.record({ type: fc.constant('leave' as const), which: fc.nat(ENDPOINTS - 1) }),
   fc.record({ type: fc.constant('away' as const), how: fc.constantFrom('silent' as const, 'refuses' as const), forMs: fc.integer({ min: 300, max: 8000 }) }),
   fc.constant({ type: 'cut' as const })
 ))
-/** An entry that is not renewed for this long lapses, in milliseconds; its endpoint writes it anew within two seconds of the registry's return. */
-const ENTRY_MS = 3600
-const BACK_MS = 1700
-/** How closely candidates are looked at, in milliseconds. */
-const LOOK_MS = 25
-
-/** Plays steps, and tells at each look which endpoints have left, since when a daemon could know of it, and which live. */
-class Play {
-  readonly rig: Rig
+/** An entry that is not renewed for this long expires, in milliseconds; its endpoint rewrites it within two seconds of the registry's return. */
+const ENTRY_LIFETIME_MS = 3600
+const MAX_REWRITE_MS = 1700
+/** Interval at which candidates are checked, in milliseconds. */
+const CHECK_EVERY_MS = 25
+
+/** Runs steps, and checks the candidates against the endpoints that have left, since when a daemon could know of it, and those that are alive. */
+class Scenario {
+  readonly fixture: RegistryFixture
   readonly #leftAtMs = new Map<string, number>()
-  #answersSinceMs = 0
-  #away = false
-  #lapsed = false
-  #backAt: Array<{ name: string, atMs: number }> = []
+  #reachableSinceMs = 0
+  #isDown = false
+  #expired = false
+  #rewrites: Array<{ name: string, atMs: number }> = []
   #nowMs = 0
 
-  constructor (rig: Rig) {
-    this.rig = rig
+  constructor (fixture: RegistryFixture) {
+    this.fixture = fixture
   }
 
   async run (pauseMs: number, what: Step): Promise<void> {
-    await this.pass(pauseMs)
+    await this.advance(pauseMs)
     if (what.type === 'leave') this.#leave(ALL[what.which]!)
-    if (what.type === 'cut') this.rig.store.cutWatches()
+    if (what.type === 'cut') this.fixture.store.cutWatches()
     if (what.type === 'away') await this.#outage(what)
   }
 
-  /** Lets time pass, and looks at the candidates meanwhile. */
-  async pass (ms: number): Promise<void> {
-    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs; this.#nowMs += LOOK_MS) {
-      for (const { name } of this.#backAt.filter(({ atMs }) => atMs <= this.#nowMs)) if (!this.#leftAtMs.has(name)) await this.rig.write(name)
-      this.#backAt = this.#backAt.filter(({ atMs }) => atMs > this.#nowMs)
-      await vi.advanceTimersByTimeAsync(LOOK_MS)
-      this.#look()
+  /** Advances time, checking the candidates at each interval. */
+  async advance (ms: number): Promise<void> {
+    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs; this.#nowMs += CHECK_EVERY_MS) {
+      for (const { name } of this.#rewrites.filter(({ atMs }) => atMs <= this.#nowMs)) if (!this.#leftAtMs.has(name)) await this.fixture.write(name)
+      this.#rewrites = this.#rewrites.filter(({ atMs }) => atMs > this.#nowMs)
+      await vi.advanceTimersByTimeAsync(CHECK_EVERY_MS)
+      this.#checkCandidates()
     }
   }
 
   #leave (name: string): void {
     if (this.#leftAtMs.size > ENDPOINTS - 4) return
     if (!this.#leftAtMs.has(name)) this.#leftAtMs.set(name, this.#nowMs)
-    this.rig.expire([name])
+    this.fixture.expire([name])
   }
 
   async #outage ({ how, forMs }: { how: 'silent' | 'refuses', forMs: number }): Promise<void> {
-    this.#away = true
-    const still = this.#backAt
-    this.#backAt = []
-    if (how === 'silent') this.rig.store.fallSilent()
-    else this.rig.store.faults.down = true
-    await this.pass(forMs)
-    this.#lapsed = forMs >= ENTRY_MS
-    if (this.#lapsed) this.rig.expire(ALL)
-    this.rig.store.speakAgain()
-    this.rig.store.faults.down = false
-    this.#away = false
-    this.#answersSinceMs = this.#nowMs
-    const names = this.#lapsed ? ALL : still.map(({ name }) => name)
-    this.#backAt = names.map((name, i) => ({ name, atMs: this.#nowMs + 200 + (i * 367) % (BACK_MS - 200) }))
+    this.#isDown = true
+    const pendingRewrites = this.#rewrites
+    this.#rewrites = []
+    if (how === 'silent') this.fixture.store.fallSilent()
+    else this.fixture.store.faults.down = true
+    await this.advance(forMs)
+    this.#expired = forMs >= ENTRY_LIFETIME_MS
+    if (this.#expired) this.fixture.expire(ALL)
+    this.fixture.store.speakAgain()
+    this.fixture.store.faults.down = false
+    this.#isDown = false
+    this.#reachableSinceMs = this.#nowMs
+    const names = this.#expired ? ALL : pendingRewrites.map(({ name }) => name)
+    this.#rewrites = names.map((name, i) => ({ name, atMs: this.#nowMs + 200 + (i * 367) % (MAX_REWRITE_MS - 200) }))
   }
 
-  #look (): void {
-    if (this.#away) return
-    const { usable } = this.rig
-    const sinceMs = (atMs: number) => this.#nowMs - Math.max(atMs, this.#answersSinceMs + RETRY_MS)
+  #checkCandidates (): void {
+    if (this.#isDown) return
+    const { usable } = this.fixture
+    const sinceMs = (atMs: number) => this.#nowMs - Math.max(atMs, this.#reachableSinceMs + RETRY_MS)
     const late = [...this.#leftAtMs].filter(([name, atMs]) => sinceMs(atMs) > LEAVING_MS && usable.includes(name))
-    expect(late, `new work at ${this.#nowMs} ms for endpoints that left`).toEqual([])
+    expect(late, `candidates at ${this.#nowMs} ms that have left`).toEqual([])
     const living = ALL.filter((name) => !this.#leftAtMs.has(name))
-    if (this.#nowMs - this.#answersSinceMs > RETRY_MS + BACK_MS) expect(usable.filter((name) => living.includes(name)), `endpoints that live at ${this.#nowMs} ms`).toEqual(living)
+    if (this.#nowMs - this.#reachableSinceMs > RETRY_MS + MAX_REWRITE_MS) expect(usable.filter((name) => living.includes(name)), `live candidates at ${this.#nowMs} ms`).toEqual(living)
   }
 }
 
-test('whatever the registry goes through, endpoints that left get no new work for longer than two seconds, and those that live have theirs', async () => {
+test('through any sequence of registry faults, endpoints that left get new work for two seconds at most, and live ones stay candidates', async () => {
   await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 2, maxLength: 7 }), async (steps) => {
-    const play = new Play(await follow())
-    for (const [pauseMs, what] of steps) await play.run(pauseMs, what)
-    await play.pass(5000)
-    play.rig.stop()
+    const scenario = new Scenario(await follow())
+    for (const [pauseMs, what] of steps) await scenario.run(pauseMs, what)
+    await scenario.advance(5000)
+    scenario.fixture.stop()
     await vi.advanceTimersByTimeAsync(20_000)
   }), { seed: 21, numRuns: 60 })
 })
--- a/daemon/endpoints/leaving_news.ts
+++ b/daemon/endpoints/leaving_news.ts
@@ -1,24 +1,24 @@
-/** Passes on to all daemons which hosts are leaving, whoever noticed it first. */
+/** Gossips leaving hosts to all daemons, whichever noticed them first. */
 import { as, type HostId } from '../../core/ids/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import { log } from '../log/index.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
 import type { EndpointTable, LeavingSignal } from './endpoint_table.ts'
 
-/** Departures that the registry shows, as of its version: a later one of the same host outranks an earlier one. */
+/** Key prefix of departures reported by the registry. The fact's version is the registry's, so a later departure of the same host replaces an earlier one. */
 const DEPARTED_PREFIX = 'departed/'
-/** Departures that anybody else told of. */
+/** Key prefix of departures known from other signals. */
 const LEAVING_PREFIX = 'leaving/'
-/** Later than any time that a notice names. */
-const LATEST_MS = 2 ** 43
-/** Longer than any notice; a time of day that jumped on one of the two daemons shows as more. */
-const LONGEST_NOTICE_MS = 120_000
+/** Upper bound of the times in notices, in milliseconds since the epoch. */
+const MAX_WALL_MS = 2 ** 43
+/** Cap on the time left, in milliseconds; longer than any notice. A larger value means that the wall clock of one of the two daemons jumped. */
+const MAX_NOTICE_MS = 120_000
 
-/** Connects an endpoint table with the other daemons' tables. */
+/** Shares departures between this daemon's endpoint table and those of the other daemons. */
 export function shareLeavingNews (table: EndpointTable, membership: MembershipTask): void {
   membership.onFact(({ key, version, value }) => {
-    if (key.startsWith(DEPARTED_PREFIX)) table.departed([hostOf(key, DEPARTED_PREFIX)], { goneAtMs: onSteadyClock(value as number), version, signal: 'peer' })
-    else if (key.startsWith(LEAVING_PREFIX)) table.leaving([hostOf(key, LEAVING_PREFIX)], onSteadyClock(value as number), 'peer')
+    if (key.startsWith(DEPARTED_PREFIX)) table.departed([hostOf(key, DEPARTED_PREFIX)], { goneAtMs: toSteadyClock(value as number), version, signal: 'peer' })
+    else if (key.startsWith(LEAVING_PREFIX)) table.leaving([hostOf(key, LEAVING_PREFIX)], toSteadyClock(value as number), 'peer')
   })
   table.onLeaving((leaving) => {
     for (const { view, goneAtMs, version, signal } of leaving) {
@@ -27,7 +27,7 @@
       if (signal === 'peer') continue
       const goneAtWallMs = Date.now() + leftMs
       if (version !== undefined) membership.tell({ key: DEPARTED_PREFIX + view.hostId, version, value: goneAtWallMs })
-      else membership.tell({ key: LEAVING_PREFIX + view.hostId, version: versionOf(signal, goneAtWallMs), value: goneAtWallMs })
+      else membership.tell({ key: LEAVING_PREFIX + view.hostId, version: factVersion(signal, goneAtWallMs), value: goneAtWallMs })
     }
   })
 }
@@ -36,11 +36,11 @@
   return as<HostId>(key.slice(prefix.length))
 }
 
-function onSteadyClock (goneAtWallMs: number): number {
-  return steadyNow() + Math.min(LONGEST_NOTICE_MS, Math.max(0, goneAtWallMs - Date.now()))
+function toSteadyClock (goneAtWallMs: number): number {
+  return steadyNow() + Math.min(MAX_NOTICE_MS, Math.max(0, goneAtWallMs - Date.now()))
 }
 
-/** A notice knows the time and outranks a guess; among notices the one that is gone sooner holds. */
-function versionOf (signal: LeavingSignal, goneAtMs: number): number {
-  return signal === 'notice' ? LATEST_MS * 2 - goneAtMs : LATEST_MS - goneAtMs
+/** Fact version of a departure: a notice, which states the time, outranks an assumed time; otherwise the earlier departure outranks the later one. */
+function factVersion (signal: LeavingSignal, goneAtMs: number): number {
+  return signal === 'notice' ? MAX_WALL_MS * 2 - goneAtMs : MAX_WALL_MS - goneAtMs
 }
--- a/daemon/endpoints/leaving_news_test.ts
+++ b/daemon/endpoints/leaving_news_test.ts
@@ -11,13 +11,13 @@
 
 const POOL = as<PoolName>('llm')
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f']
-const NEWS_MS = 100
+const PROPAGATION_MS = 100
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-/** What daemons tell each other: of each key the fact with the highest version, and all of them to one that joins. */
-class Rumours {
+/** Gossip between daemons: keeps the fact with the highest version of each key, and sends all facts to a daemon that joins. */
+class Gossip {
   readonly #facts = new Map<string, Fact>()
   readonly #listeners: Array<{ of: DaemonId, listener: FactListener }> = []
 
@@ -39,18 +39,18 @@
   }
 }
 
-/** A daemon that follows the registry, until it is turned away, and hears the others. */
+/** A daemon that follows the registry, until the registry rejects it, and receives gossip. */
 class Daemon {
   readonly table: EndpointTable
   readonly #follower: EndpointFollower
-  turnedAway = false
+  isRejected = false
 
-  constructor (name: string, { store, rumours }: { store: StandInStore, rumours: Rumours }) {
+  constructor (name: string, { store, gossip }: { store: StandInStore, gossip: Gossip }) {
     const id = as<DaemonId>(name)
     this.table = new EndpointTable({ self: id, hash: (text) => text.length })
-    shareLeavingNews(this.table, rumours.membershipOf(id))
+    shareLeavingNews(this.table, gossip.membershipOf(id))
     const answer = async <T>(result: T): Promise<T> => {
-      if (this.turnedAway) throw new StoreError('Cannot reach store: turned away', { failure: 'not-applied' })
+      if (this.isRejected) throw new StoreError('Cannot reach store: rejected', { failure: 'not-applied' })
       return result
     }
     const own: Pick<ObjectStore, 'snapshot' | 'changes'> = {
@@ -72,59 +72,59 @@
 
 async function write (store: StandInStore, name: string): Promise<void> {
   await store.create(`servers/${name}`, JSON.stringify({ service: POOL, address: `10.0.0.${NAMES.indexOf(name) + 1}:80`, zone: 'z', slots: 64, state: 'ready' }))
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
 }
 
 async function expire (store: StandInStore, name: string): Promise<void> {
   store.expire([`servers/${name}`])
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
 }
 
 const others = NAMES.filter((name) => name !== 'a')
 
-test('a peer\'s word that an endpoint leaves is believed also when the endpoint has just returned', async () => {
-  // New work goes to an endpoint that has left, from a daemon that the registry turns away: the endpoint's entry had lapsed and come back three
-  // seconds before. For five seconds no peer's word on it was believed, and the word did not even spread: the one from the time before outranked it.
-  const parts = { store: new StandInStore(), rumours: new Rumours() }
+test('a peer\'s report that an endpoint leaves takes effect even if the endpoint has just returned', async () => {
+  // Guards against new work for an endpoint that has left, from a daemon that the registry rejects: the endpoint's entry had expired and returned three
+  // seconds before. For five seconds peers' reports were ignored, and the report did not even spread, as the one of the earlier departure outranked it.
+  const parts = { store: new StandInStore(), gossip: new Gossip() }
   for (const name of NAMES) await write(parts.store, name)
   const [hears, sees] = [new Daemon('hears', parts), new Daemon('sees', parts)]
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
   await expire(parts.store, 'a')
   expect([hears.usable, sees.usable]).toEqual([others, others])
   await write(parts.store, 'a')
   expect([hears.usable, sees.usable]).toEqual([NAMES, NAMES])
-  hears.turnedAway = true
+  hears.isRejected = true
   await vi.advanceTimersByTimeAsync(3000)
   await expire(parts.store, 'a')
   expect([hears.usable, sees.usable]).toEqual([others, others])
   for (const daemon of [hears, sees]) daemon.stop()
 })
 
-test('old word that an endpoint leaves does not keep work from it at a daemon that starts after its return', async () => {
-  // An endpoint stands idle at a daemon for half a minute after its start: the others tell it of a departure from before the endpoint's return.
-  const parts = { store: new StandInStore(), rumours: new Rumours() }
+test('an old report that an endpoint leaves does not keep work from it at a daemon that starts after its return', async () => {
+  // Guards against a daemon not using an endpoint for half a minute after the daemon's start: the others report a departure from before the endpoint's return.
+  const parts = { store: new StandInStore(), gossip: new Gossip() }
   for (const name of NAMES) await write(parts.store, name)
   const first = new Daemon('first', parts)
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
   await expire(parts.store, 'a')
   await write(parts.store, 'a')
   await vi.advanceTimersByTimeAsync(8000)
   expect(first.usable).toEqual(NAMES)
   const second = new Daemon('second', parts)
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
   expect(second.usable).toEqual(NAMES)
   for (const daemon of [first, second]) daemon.stop()
 })
 
-test('a departure is told to the others also by a daemon that has no work there', async () => {
-  // A daemon that the registry turns away goes on sending work to an endpoint that has left: those that saw it go forgot the endpoint before they could
-  // tell, unless they had work there. Of nine daemons one wrote `endpoint-leaving`, the others `endpoint-gone` alone.
-  const parts = { store: new StandInStore(), rumours: new Rumours() }
+test('a departure is shared even by a daemon that has no work on the endpoint', async () => {
+  // Guards against a daemon that the registry rejects sending work to an endpoint that has left: the daemons that saw it go removed the endpoint before
+  // sharing its departure, unless they had work there. Of nine daemons, one logged `endpoint-leaving` and the others only `endpoint-gone`.
+  const parts = { store: new StandInStore(), gossip: new Gossip() }
   for (const name of NAMES) await write(parts.store, name)
   const first = new Daemon('first', parts)
   const second = new Daemon('second', parts)
-  await vi.advanceTimersByTimeAsync(NEWS_MS)
-  second.turnedAway = true
+  await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
+  second.isRejected = true
   await expire(parts.store, 'a')
   expect(second.usable).toEqual(others)
   for (const daemon of [first, second]) daemon.stop()
--- a/daemon/endpoints/reclaimer.ts
+++ b/daemon/endpoints/reclaimer.ts
@@ -1,4 +1,4 @@
-/** Carries out the reclaim planner's decisions for the streams of this daemon. */
+/** Executes the reclaim planner's decisions for this daemon's streams. */
 import type { EndpointId } from '../../core/ids/index.ts'
 import {
   JointPlanner, NOTICE_MARGIN_MS, reclaimWeights, shareImports,
@@ -18,64 +18,64 @@
   prefixes: PrefixIndex
   metrics: Metrics
   engine (view: EndpointView): ModelEngine
-  /** Requests that are open on this daemon. */
+  /** Requests in progress on this daemon. */
   open (): Iterable<RequestTask<unknown>>
   wantsLeast (): Config['wantsLeast']
   random: () => number
-  /** Daemons that use one endpoint, on average. */
+  /** Average number of daemons that use one endpoint. */
   sharers (): number
   /** Default: {@linkcode JointPlanner}. */
   planner?: ReclaimPlanner
 }
 
-/** Room for KV cache that is assumed for each free batch slot, in tokens. */
+/** KV-cache capacity that is assumed per free batch slot, in tokens. */
 const KV_TOKENS_PER_SLOT = 16_384
-/** Notices of one wave come in several messages; they are planned together. */
-const GATHER_MS = 20
+/** Delay before planning, in milliseconds, so that the notices of one reclaim wave, which arrive in several messages, are planned together. */
+const BATCH_DELAY_MS = 20
 
-/** Plans and moves the streams on endpoints that leave. */
+/** Plans and moves the streams on leaving endpoints. */
 export class Reclaimer {
   readonly #options: ReclaimerOptions
   readonly #planner: ReclaimPlanner
-  readonly #sweeps = new Map<EndpointId, NodeJS.Timeout>()
+  readonly #holdTimers = new Map<EndpointId, NodeJS.Timeout>()
   #planTimer: NodeJS.Timeout | undefined
 
   constructor (options: ReclaimerOptions) {
     this.#options = options
     this.#planner = options.planner ?? new JointPlanner()
-    options.table.onLeaving((leaving) => leaving.forEach(({ view, goneAtMs }) => this.#threatened(view.id, goneAtMs)))
+    options.table.onLeaving((leaving) => leaving.forEach(({ view, goneAtMs }) => this.#onLeaving(view.id, goneAtMs)))
   }
 
-  /** Plans again for everything on endpoints that leave; called when a notice shortens or a move fails. */
+  /** Plans again for all streams on leaving endpoints; called when an endpoint leaves, its time left changes, streams were taken over or an export fails. */
   replan (): void {
     this.#planTimer ??= setTimeout(() => {
       this.#planTimer = undefined
       this.#plan()
-    }, GATHER_MS)
+    }, BATCH_DELAY_MS)
   }
 
-  #threatened (endpoint: EndpointId, goneAtMs: number): void {
-    clearTimeout(this.#sweeps.get(endpoint))
-    const sweepInMs = Math.max(0, goneAtMs - steadyNow() - NOTICE_MARGIN_MS)
-    this.#sweeps.set(endpoint, setTimeout(() => this.#sweep(endpoint), sweepInMs))
+  #onLeaving (endpoint: EndpointId, goneAtMs: number): void {
+    clearTimeout(this.#holdTimers.get(endpoint))
+    const holdInMs = Math.max(0, goneAtMs - steadyNow() - NOTICE_MARGIN_MS)
+    this.#holdTimers.set(endpoint, setTimeout(() => this.#holdRemaining(endpoint), holdInMs))
     this.replan()
   }
 
-  /** A stream that was planned to finish and did not, or whose export is late, leaves now: after the notice nothing can be confirmed. */
-  #sweep (endpoint: EndpointId): void {
-    this.#sweeps.delete(endpoint)
-    for (const task of this.#threatenedTasks()) {
+  /** Holds the streams that are still on the endpoint shortly before it is gone, planned to finish or with a late export: afterwards nothing can be confirmed. */
+  #holdRemaining (endpoint: EndpointId): void {
+    this.#holdTimers.delete(endpoint)
+    for (const task of this.#tasksToMove()) {
       if (task.runningAt === endpoint) this.#move(task, { stream: task.id, action: 'hold' })
     }
   }
 
-  #threatenedTasks (): RequestTask<unknown>[] {
+  #tasksToMove (): RequestTask<unknown>[] {
     const { table } = this.#options
     return [...this.#options.open()].filter((task) => task.state.traits.movable && task.runningAt !== undefined && table.goneAtMs(task.runningAt) !== undefined)
   }
 
   #plan (): void {
-    const tasks = this.#threatenedTasks().filter((task) => !task.exporting)
+    const tasks = this.#tasksToMove().filter((task) => !task.exporting)
     if (tasks.length === 0) return
     const problem = this.#problem(tasks)
     const byId = new Map(tasks.map((task) => [task.id, task]))
@@ -132,7 +132,7 @@
     return { streams, sources, targets, weights: reclaimWeights(this.#options.wantsLeast(), targets.values()) }
   }
 
-  /** Other daemons plan for the same endpoint and do not know of this plan: each uses the share of its own streams. */
+  /** Describes a leaving endpoint. Other daemons plan for it independently, so each uses the share of the endpoint that its own streams take up. */
   #sourceOf (id: EndpointId, now: number): Source {
     const view = this.#options.table.get(id)!
     const share = Math.min(1, view.own.running / Math.max(1, runningNow(view)))
