--- a/daemon/quarantine/crash_watch.ts
+++ b/daemon/quarantine/crash_watch.ts
@@ -1,4 +1,4 @@
-/** Finds out which endpoints crashed, and which of this daemon's requests were at them. */
+/** Detects endpoint crashes, and which of this daemon's requests were in flight there. */
 import type { EndpointId, Fingerprint } from '../../core/ids/index.ts'
 import { isBrokenOff, type FailurePoint } from '../../core/outcome/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
@@ -7,7 +7,7 @@
 import { log } from '../log/index.ts'
 import type { Metrics } from '../metrics.ts'
 
-/** Requests that were at an endpoint when it crashed. */
+/** Requests that were in flight at an endpoint when it crashed. */
 export interface Crash {
   endpoint: EndpointId
   aboard: Fingerprint[]
@@ -16,50 +16,50 @@
 /** Options of {@linkcode CrashWatch}. */
 export interface CrashWatchOptions {
   metrics: Metrics
-  /** Opens a connection to an endpoint, to see whether its process is there. */
+  /** Opens a connection to an endpoint, to check whether its process is running. */
   dial (address: string): Promise<DialResult>
 }
 
-/** How long it may take until an endpoint that lost requests is known to have crashed, in milliseconds. */
-const UNDECIDED_MS = 10_000
-/** A request that was given up so shortly before its endpoint crashed may have caused it, in milliseconds. */
-const GIVEN_UP_LATELY_MS = 2000
+/** Time within which an endpoint that broke off requests must be found to have crashed for them to count as in flight, in milliseconds. */
+const CRASH_DETECTION_MS = 10_000
+/** A request that was abandoned less than this long before its endpoint crashed may have caused the crash, in milliseconds. */
+const RECENTLY_ABANDONED_MS = 2000
 
-/** What an endpoint had of this daemon. */
-interface Losses {
+/** This daemon's attempts that an endpoint did not finish. */
+interface UnfinishedAttempts {
   view: EndpointView
-  /** Broken off by the endpoint. */
+  /** Requests that the endpoint broke off. */
   aboard: Set<Fingerprint>
-  /** Given up by this daemon, and when. */
-  givenUp: Map<Fingerprint, number>
+  /** Requests that this daemon abandoned, with the time, in milliseconds on the steady clock. */
+  abandoned: Map<Fingerprint, number>
   atMs: number
   dialled: boolean
   crashed: boolean
 }
 
 /**
- * Tells crashes from lost connections and from announced departures.
+ * Distinguishes crashes from lost connections and announced departures.
  *
- * A connection that breaks says nothing of its endpoint: networks reset connections, and endpoints drop some. One that refuses a new connection right after has no
- * process any more.
+ * A broken connection alone does not show a crash: networks reset connections, and endpoints drop some. An endpoint that refuses a new connection right afterwards has no
+ * running process.
  */
 export class CrashWatch {
   readonly #options: CrashWatchOptions
-  readonly #losses = new Map<EndpointId, Losses>()
+  readonly #unfinished = new Map<EndpointId, UnfinishedAttempts>()
   #listener: (crash: Crash) => void = () => {}
 
   constructor (options: CrashWatchOptions) {
     this.#options = options
   }
 
-  /** Calls the listener with each crash, and again with requests that are found later to have been at the endpoint. */
+  /** Sets the listener for crashes. It is called again for requests that are found later to have been in flight. */
   onCrash (listener: (crash: Crash) => void): void {
     this.#listener = listener
   }
 
   /**
-   * An attempt failed.
-   * @param view Undefined where the endpoint is not listed any more.
+   * Records a failed attempt.
+   * @param endpoint Its `view` is undefined when the endpoint is no longer listed.
    */
   failed (endpoint: { id: EndpointId, view: EndpointView | undefined }, point: FailurePoint, request: () => Fingerprint): void {
     const { id, view } = endpoint
@@ -68,59 +68,59 @@
     else if (view && point === 'timeout-after-send') this.gaveUp(view, request())
   }
 
-  /** An endpoint broke an attempt off without a word. */
+  /** Records an attempt that the endpoint broke off without an error response, and dials the endpoint to see whether it crashed. */
   lost (view: EndpointView, request: Fingerprint): void {
-    const losses = this.#lossesOf(view)
-    if (!losses) return
-    if (losses.crashed) return this.#tell(view, [request])
-    losses.aboard.add(request)
-    losses.atMs = steadyNow()
-    if (losses.dialled) return
-    losses.dialled = true
+    const unfinished = this.#unfinishedAt(view)
+    if (!unfinished) return
+    if (unfinished.crashed) return this.#report(view, [request])
+    unfinished.aboard.add(request)
+    unfinished.atMs = steadyNow()
+    if (unfinished.dialled) return
+    unfinished.dialled = true
     this.#options.dial(view.address).then((result) => { if (result === 'refused') this.gone(view.id) })
   }
 
-  /** This daemon gave an attempt up before the endpoint had answered it: if the endpoint crashes, its connection tells nothing any more. */
+  /** Records an attempt that this daemon abandoned before an answer. Its connection is closed, so it cannot show a crash of the endpoint later. */
   gaveUp (view: EndpointView, request: Fingerprint): void {
-    const losses = this.#lossesOf(view)
-    if (!losses) return
-    losses.givenUp.set(request, steadyNow())
-    losses.atMs = steadyNow()
+    const unfinished = this.#unfinishedAt(view)
+    if (!unfinished) return
+    unfinished.abandoned.set(request, steadyNow())
+    unfinished.atMs = steadyNow()
   }
 
-  /** An endpoint has no process any more, as its address shows or another daemon has found. */
+  /** Records that an endpoint's process is gone, as its address shows or another daemon reported. */
   gone (id: EndpointId): void {
-    const losses = this.#losses.get(id)
-    if (!losses || losses.crashed) return
+    const unfinished = this.#unfinished.get(id)
+    if (!unfinished || unfinished.crashed) return
     const now = steadyNow()
-    const givenUp = [...losses.givenUp].filter(([, atMs]) => now - atMs < GIVEN_UP_LATELY_MS).map(([request]) => request)
-    const aboard = [...now - losses.atMs < UNDECIDED_MS ? losses.aboard : [], ...givenUp]
+    const recentlyAbandoned = [...unfinished.abandoned].filter(([, atMs]) => now - atMs < RECENTLY_ABANDONED_MS).map(([request]) => request)
+    const aboard = [...now - unfinished.atMs < CRASH_DETECTION_MS ? unfinished.aboard : [], ...recentlyAbandoned]
     if (aboard.length === 0) return
-    losses.crashed = true
-    this.#options.metrics.endpointCrashes.inc({ pool: losses.view.pool })
-    this.#tell(losses.view, aboard)
+    unfinished.crashed = true
+    this.#options.metrics.endpointCrashes.inc({ pool: unfinished.view.pool })
+    this.#report(unfinished.view, aboard)
   }
 
-  /** Another process runs under an endpoint's name, and nothing had said that it leaves. */
+  /** Records the crash of an endpoint that was replaced by a later start without having announced that it leaves. */
   restarted (view: EndpointView): void {
     this.gone(view.id)
-    this.#losses.set(view.id, { view, aboard: new Set(), givenUp: new Map(), atMs: steadyNow(), dialled: true, crashed: true })
+    this.#unfinished.set(view.id, { view, aboard: new Set(), abandoned: new Map(), atMs: steadyNow(), dialled: true, crashed: true })
   }
 
-  #tell (view: EndpointView, aboard: Fingerprint[]): void {
+  #report (view: EndpointView, aboard: Fingerprint[]): void {
     log('endpoint-crashed', { endpoint: view.id, pool: view.pool, aboard })
     this.#listener({ endpoint: view.id, aboard })
   }
 
-  /** Undefined for an endpoint that said it leaves: it breaks off what it has not finished. */
-  #lossesOf (view: EndpointView): Losses | undefined {
+  /** Unfinished attempts of an endpoint; undefined for one that announced that it leaves, as it may break off unfinished requests without a crash. */
+  #unfinishedAt (view: EndpointView): UnfinishedAttempts | undefined {
     const now = steadyNow()
-    for (const [id, { atMs }] of this.#losses) if (now - atMs > UNDECIDED_MS) this.#losses.delete(id)
-    const known = this.#losses.get(view.id)
+    for (const [id, { atMs }] of this.#unfinished) if (now - atMs > CRASH_DETECTION_MS) this.#unfinished.delete(id)
+    const known = this.#unfinished.get(view.id)
     if (known?.crashed || view.leavingAtMs === undefined) {
-      const losses = known ?? { view, aboard: new Set(), givenUp: new Map(), atMs: now, dialled: false, crashed: false }
-      this.#losses.set(view.id, losses)
-      return losses
+      const unfinished = known ?? { view, aboard: new Set(), abandoned: new Map(), atMs: now, dialled: false, crashed: false }
+      this.#unfinished.set(view.id, unfinished)
+      return unfinished
     }
     return undefined
   }
--- a/daemon/quarantine/crash_watch_test.ts
+++ b/daemon/quarantine/crash_watch_test.ts
@@ -24,7 +24,7 @@
   return { watch, crashes, dials }
 }
 
-test('an endpoint that breaks off requests and refuses connections has crashed with all that it had', async () => {
+test('an endpoint that breaks off requests and refuses connections has crashed, with all of its requests in flight', async () => {
   const { watch, crashes, dials } = start('refused')
   watch.lost(viewOf(), A)
   watch.lost(viewOf(), B)
@@ -34,7 +34,7 @@
   expect(dials).toHaveLength(1)
 })
 
-test('a connection that breaks is no crash where the endpoint accepts others, until its address refuses', async () => {
+test('a broken connection is no crash while the endpoint accepts new ones, until its address refuses them', async () => {
   const { watch, crashes } = start('accepted')
   watch.lost(viewOf(), A)
   await vi.advanceTimersByTimeAsync(100)
@@ -44,21 +44,21 @@
   expect(crashes).toEqual([{ endpoint: FIRST, aboard: [A] }])
 })
 
-test('what an endpoint breaks off that said it leaves is no crash', async () => {
+test('requests broken off by an endpoint that announced that it leaves are no crash', async () => {
   const { watch, crashes } = start('refused')
   watch.lost(viewOf({ leavingAtMs: 1 }), A)
   await vi.advanceTimersByTimeAsync(100)
   expect(crashes).toEqual([])
 })
 
-test('a request that was cut off because its endpoint had started again was aboard a crash', () => {
+test('a request broken off by the restart of its endpoint was in flight at a crash', () => {
   const { watch, crashes } = start('accepted')
   watch.restarted(viewOf())
   watch.lost(viewOf({ leavingAtMs: 1 }), A)
   expect(crashes).toEqual([{ endpoint: FIRST, aboard: [A] }])
 })
 
-test('a connection lost long before an endpoint ended tells nothing of its end', () => {
+test('a connection lost long before its endpoint ended is not attributed to a crash', () => {
   const { watch, crashes } = start('accepted')
   watch.lost(viewOf(), A)
   vi.advanceTimersByTime(11_000)
@@ -66,7 +66,7 @@
   expect(crashes).toEqual([])
 })
 
-test('a request that was given up shortly before its endpoint crashed was aboard', () => {
+test('a request abandoned shortly before its endpoint crashed counts as in flight', () => {
   const { watch, crashes } = start('accepted')
   watch.gaveUp(viewOf(), A)
   vi.advanceTimersByTime(3000)
--- a/daemon/quarantine/quarantine_archive.ts
+++ b/daemon/quarantine/quarantine_archive.ts
@@ -1,4 +1,4 @@
-/** Keeps what is held in the store, so that it outlives all daemons. */
+/** Stores quarantined requests, so that the quarantine outlives all daemons. */
 import { as, type EndpointId, type Fingerprint } from '../../core/ids/index.ts'
 import type { CrashReport, HeldRequest } from '../../core/quarantine/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
@@ -9,59 +9,59 @@
 /** Options of {@linkcode QuarantineArchive}. */
 export interface QuarantineArchiveOptions {
   store: Pick<ObjectStore, 'list' | 'create' | 'remove'>
-  quarantine: Pick<QuarantineTask, 'held' | 'learn' | 'onHeld'>
-  /** True while this daemon reads and writes for all. */
+  quarantine: Pick<QuarantineTask, 'held' | 'mergeReports' | 'onHeld'>
+  /** Whether this daemon is the one that maintains the archive. */
   keeps (): boolean
 }
 
-/** What the store has of one request; the daemons' steady clocks end with them. */
-interface Archived { crashes: Array<{ endpoint: EndpointId, atWallMs: number }> }
+/** Stored value of one quarantined request. Times are wall-clock, as a daemon's steady clock means nothing after it has stopped. */
+interface ArchivedRequest { crashes: Array<{ endpoint: EndpointId, atWallMs: number }> }
 
-const PREFIX = 'quarantine/'
-/** Between two rounds, in milliseconds. */
-const ROUND_MS = 1000
-/** Rounds that are left out after a call that failed. */
-const ROUNDS_AFTER_FAILURE = 2
+const KEY_PREFIX = 'quarantine/'
+/** Interval between synchronizations, in milliseconds. */
+const SYNC_INTERVAL_MS = 1000
+/** Number of rounds skipped after a failed store call. */
+const ROUNDS_SKIPPED_AFTER_FAILURE = 2
 
-/** Reads what is stored when this daemon begins to keep it, and then writes what changes. */
+/** Loads the stored quarantine when this daemon becomes responsible for the archive, then writes its changes. */
 export class QuarantineArchive {
   readonly #options: QuarantineArchiveOptions
-  /** Versions of what is stored; undefined until it was read. */
+  /** Versions of the stored objects; undefined until they have been read. */
   #stored: Map<Fingerprint, number> | undefined
   #timer: NodeJS.Timeout | undefined
-  #running = false
+  #isSynchronizing = false
   #roundsToSkip = 0
 
   constructor (options: QuarantineArchiveOptions) {
     this.#options = options
   }
 
-  /** Begins. */
+  /** Starts synchronizing, periodically and whenever the quarantine changes. */
   start (): void {
-    this.#timer = setInterval(() => this.round(), ROUND_MS)
-    this.#options.quarantine.onHeld(() => this.round())
+    this.#timer = setInterval(() => this.synchronize(), SYNC_INTERVAL_MS)
+    this.#options.quarantine.onHeld(() => this.synchronize())
   }
 
-  /** Stops. */
+  /** Stops synchronizing. */
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  /** Brings the store up to date, if that is this daemon's job and no round is under way. */
-  async round (): Promise<void> {
-    if (this.#running || this.#roundsToSkip-- > 0) return
+  /** Updates the store, if this daemon maintains the archive and no update is in progress. */
+  async synchronize (): Promise<void> {
+    if (this.#isSynchronizing || this.#roundsToSkip-- > 0) return
     this.#roundsToSkip = 0
-    this.#running = true
+    this.#isSynchronizing = true
     try {
       await this.#update()
     } catch (err) {
       if (!(err instanceof StoreError)) throw err
       log('quarantine-not-stored', { why: err.message })
-      // After a conflict another daemon has written, too.
+      // A conflict means that another daemon has written to the archive, too, so it must be read again.
       if (isStoreFailure(err, 'conflict')) this.#stored = undefined
-      this.#roundsToSkip = ROUNDS_AFTER_FAILURE
+      this.#roundsToSkip = ROUNDS_SKIPPED_AFTER_FAILURE
     } finally {
-      this.#running = false
+      this.#isSynchronizing = false
     }
   }
 
@@ -74,11 +74,11 @@
     this.#stored ??= await this.#read()
     const held = new Map(quarantine.held.map((each) => [each.request, each]))
     for (const [request, each] of held) {
-      if (!this.#stored.has(request)) this.#stored.set(request, await store.create(PREFIX + request, JSON.stringify(archived(each))))
+      if (!this.#stored.has(request)) this.#stored.set(request, await store.create(KEY_PREFIX + request, JSON.stringify(toArchived(each))))
     }
     for (const [request, version] of this.#stored) {
       if (held.has(request)) continue
-      await store.remove(PREFIX + request, version)
+      await store.remove(KEY_PREFIX + request, version)
       this.#stored.delete(request)
     }
   }
@@ -86,23 +86,23 @@
   async #read (): Promise<Map<Fingerprint, number>> {
     const stored = new Map<Fingerprint, number>()
     const reports: CrashReport[] = []
-    for (const object of await this.#options.store.list(PREFIX)) {
-      const request = as<Fingerprint>(object.key.slice(PREFIX.length))
-      const found = reportsOf(object, request)
+    for (const object of await this.#options.store.list(KEY_PREFIX)) {
+      const request = as<Fingerprint>(object.key.slice(KEY_PREFIX.length))
+      const found = decodeReports(object, request)
       if (found.length > 0) stored.set(request, object.version)
       reports.push(...found)
     }
-    this.#options.quarantine.learn(reports)
+    this.#options.quarantine.mergeReports(reports)
     return stored
   }
 }
 
-function archived ({ crashes }: HeldRequest): Archived {
+function toArchived ({ crashes }: HeldRequest): ArchivedRequest {
   const now = steadyNow()
   return { crashes: crashes.map(({ endpoint, atMs }) => ({ endpoint, atWallMs: Date.now() - (now - atMs) })) }
 }
 
-function parsed (value: string): unknown {
+function parseJson (value: string): unknown {
   try {
     return JSON.parse(value)
   } catch {
@@ -110,13 +110,13 @@
   }
 }
 
-/** Objects that another program wrote tell of no crash, and are left as they are. */
-function reportsOf ({ value }: StoredObject, request: Fingerprint): CrashReport[] {
-  const crashes = (parsed(value) as Partial<Archived> | null)?.crashes
+/** Decodes a stored object. Objects written by other programs yield no reports, and are left unchanged. */
+function decodeReports ({ value }: StoredObject, request: Fingerprint): CrashReport[] {
+  const crashes = (parseJson(value) as Partial<ArchivedRequest> | null)?.crashes
   if (!Array.isArray(crashes)) return []
   return crashes.filter((crash) => typeof crash?.endpoint === 'string' && Number.isFinite(crash.atWallMs)).map(({ endpoint, atWallMs }) => ({
     endpoint,
-    // A time of day that has jumped may lie in the future.
+    // The stored time may lie in the future if a wall clock has jumped.
     atMs: steadyNow() - Math.max(0, Date.now() - atWallMs),
     aboard: [request],
     cleared: []
--- a/daemon/quarantine/quarantine_task_test.ts
+++ b/daemon/quarantine/quarantine_task_test.ts
@@ -6,13 +6,13 @@
 import { QuarantineTask } from './quarantine_task.ts'
 
 const PEER = as<DaemonId>('peer')
-const KILLER = { fingerprint: () => as<Fingerprint>('f') }
+const CRASHING = { fingerprint: () => as<Fingerprint>('f') }
 const HOUR_MS = 3_600_000
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
 
-/** A daemon with one neighbour, and what that is told. */
+/** Creates a task with one neighbour, and records the reports sent to it. */
 function start () {
   const told: Array<{ endpoint: string, aboard: string[], cleared: string[] }> = []
   let crashed: (crash: Crash) => void = () => {}
@@ -20,29 +20,29 @@
   const membership = { links, onLink: () => {}, core: { neighbours: [PEER] } } as unknown as MembershipTask
   const crashes = { onCrash: (listener: typeof crashed) => { crashed = listener }, gone: () => {} } as unknown as CrashWatch
   const task = new QuarantineTask({ crashes, membership, metrics: createMetrics() })
-  const crash = (endpoint: string) => crashed({ endpoint: as<EndpointId>(endpoint), aboard: [KILLER.fingerprint()] })
+  const crash = (endpoint: string) => crashed({ endpoint: as<EndpointId>(endpoint), aboard: [CRASHING.fingerprint()] })
   return { task, told, crash }
 }
 
-test('a request may be sent again when its time is over, and one more crash holds it at once', () => {
+test('a request may be sent again when its quarantine ends, and one more crash quarantines it at once', () => {
   const { task, crash } = start()
   for (const endpoint of ['e1', 'e2', 'e3']) crash(endpoint)
   vi.advanceTimersByTime(HOUR_MS - 1)
-  expect(task.heldForMs(KILLER)).toBeCloseTo(1)
+  expect(task.heldForMs(CRASHING)).toBeCloseTo(1)
   vi.advanceTimersByTime(1)
-  expect(task.heldForMs(KILLER)).toBeUndefined()
+  expect(task.heldForMs(CRASHING)).toBeUndefined()
   crash('e4')
-  expect(task.heldForMs(KILLER)).toBeCloseTo(HOUR_MS)
+  expect(task.heldForMs(CRASHING)).toBeCloseTo(HOUR_MS)
 })
 
-test('news of one moment goes out together, and what was not told yet before a daemon leaves', () => {
+test('simultaneous reports are sent together, and pending reports are sent when a daemon stops', () => {
   const { task, told, crash } = start()
   crash('e1')
   crash('e2')
   expect(told).toEqual([])
   vi.advanceTimersByTime(100)
   expect(told).toEqual([{ endpoint: 'e1', aboard: ['f'], cleared: [] }, { endpoint: 'e2', aboard: ['f'], cleared: [] }])
-  task.answered(KILLER)
+  task.answered(CRASHING)
   task.stop()
   expect(told.slice(2)).toEqual([{ endpoint: 'e1', aboard: [], cleared: ['f'] }, { endpoint: 'e2', aboard: [], cleared: ['f'] }])
 })
