--- a/endpoints/attempt.ts
+++ b/endpoints/attempt.ts
@@ -1,15 +1,15 @@
-/** One attempt of a request at an endpoint, whatever protocol carries it. */
+/** Protocol-independent interfaces for one attempt of a request at an endpoint. */
 import type { AnswerHead } from '../core/answer/index.ts'
 import type { AttemptError } from '../core/outcome/index.ts'
 import type { StartMode } from '../core/request/index.ts'
 import type { EndpointLoad, EndpointView, Lane } from '../core/routing/index.ts'
 
-/** Receives one attempt's answer. Exactly one of `onEnd` and `onError` comes last. */
+/** Receives one attempt's answer. The last call is exactly one of `onEnd` and `onError`. */
 export interface AttemptSink<P> {
-  /** Status and headers, where the protocol has them; before the first piece. */
+  /** Called before the first piece with the status and headers, if the protocol has them. */
   onHead? (head: AnswerHead): void
   onChunk (offset: number, pieces: readonly P[]): void
-  /** The answer's explicit end: `total` pieces from the start of the whole answer. */
+  /** Called at the answer's explicit end. `total` counts the pieces from the start of the whole answer. */
   onEnd (total: number): void
   onError (err: AttemptError): void
   onLoad (load: EndpointLoad): void
@@ -17,24 +17,24 @@
 
 /** What an attempt had produced when it was stopped. */
 export interface StopReport<P = string> {
-  /** True when the endpoint confirms that the attempt runs no more. */
+  /** True when the endpoint confirms that the attempt no longer runs. */
   stopped: boolean
-  /** Pieces from the asked offset on that were produced before the stop. */
+  /** Pieces from the requested offset on that were produced before the stop. */
   pieces: readonly P[]
 }
 
-/** Stops receiving an attempt. */
+/** Handle for an attempt whose answer is being received; `detach` stops receiving. */
 export interface Attachment { detach (): void }
 
 /** How one attempt begins. */
 export interface AttemptSpec<P> {
   attempt: number
   mode: StartMode
-  /** Where the request stands among others at the endpoint. */
+  /** Priority lane of the request at the endpoint. */
   lane: Lane
-  /** Pieces that earlier attempts delivered; the attempt goes on behind them. */
+  /** Pieces that earlier attempts delivered; the attempt continues after them. */
   done: readonly P[]
-  /** Place behind the last piece that the caller has. */
+  /** Offset after the last piece that the caller has. */
   from: number
   /** Milliseconds until the request's deadline. */
   deadlineInMs: number
@@ -42,9 +42,9 @@
   kvHandle: string | undefined
 }
 
-/** Carries out the attempts of one request. */
+/** Runs the attempts of one request. */
 export interface AttemptRunner<P> {
   start (view: EndpointView, spec: AttemptSpec<P>, sink: AttemptSink<P>): Attachment
-  /** Stops an attempt that runs or ran there. */
+  /** Stops an attempt that runs or ran at the endpoint. */
   stop (view: EndpointView, attempt: number, from: number): Promise<StopReport<P>>
 }
--- a/endpoints/cloud.ts
+++ b/endpoints/cloud.ts
@@ -1,8 +1,8 @@
-/** The platform's cloud API as the daemons use it: hosts, reclaim notices, starts and stops. */
+/** The part of the platform's cloud API that the daemons use: listing, starting and stopping hosts, and reclaim notices. */
 import type { EndpointId, EndpointVersion, FailureDomain, HostId, PoolName } from '../core/ids/index.ts'
 import type { EndpointSpeed } from '../core/routing/index.ts'
 
-/** A host and the endpoint on it, as the lagging host list shows them. */
+/** A host and its endpoint as the host list shows them, which lags behind the actual state. */
 export interface ListedHost {
   hostId: HostId
   hostClass: string
@@ -10,52 +10,52 @@
   reclaimable: boolean
   pricePerHour: number
   state: 'live' | 'leaving'
-  /** Version of the registry at which its entry was written; undefined for a list that has no versions. */
+  /** Registry version at which the entry was written; undefined for a list without versions. */
   version?: number
   endpoint: {
     id: EndpointId
-    /** What the platform calls the endpoint, the same at each start. Default: its id, where each start has one of its own. */
+    /** The platform's name for the endpoint, which stays the same when it restarts. Default: its id, if each start has its own id. */
     name?: string
-    /** When it started, in milliseconds since the epoch; orders the starts of one name. Default 0. */
+    /** Start time in milliseconds since the epoch; orders the starts of one name. Default 0. */
     startedAtMs?: number
     pool: PoolName
-    /** Version of its software. Default: not told. */
+    /** Version of the endpoint's software. Default: unknown. */
     version?: EndpointVersion
     address: string
     speed: EndpointSpeed
-    /** Milliseconds to a first token or plain answer beside waiting and reading, as a first estimate. Default 0. */
+    /** Initial estimate of the milliseconds to a first token or plain answer, without queueing and prefill. Default 0. */
     firstMs?: number
-    /** True for an endpoint that publishes no speeds: they are learnt from its first tokens or answers. Default false. */
+    /** True for an endpoint that publishes no speeds; they are estimated from its first tokens or answers. Default false. */
     learnsPace?: boolean
   }
 }
 
-/** Hosts that will be gone at a time. */
+/** Announces that the platform will take hosts away at a given time. */
 export interface ReclaimNotice {
-  /** Grows with each notice. */
+  /** Increases with each notice. */
   serial: number
   hosts: HostId[]
   /** Milliseconds since the epoch. */
   goneAtMs: number
 }
 
-/** A host to start. */
+/** Properties of a host to start. */
 export interface HostWanted { hostClass: string, failureDomain: FailureDomain, pool: PoolName, reclaimable: boolean }
 
-/** A kind of host that the cloud offers, and its price now. */
+/** A kind of host that the cloud offers, and its current price. */
 export interface CloudOffer { hostClass: string, failureDomain: FailureDomain, reclaimable: boolean, pricePerHour: number, speed: EndpointSpeed }
 
-/** The cloud API. Methods throw {@linkcode CloudError}. */
+/** Client of the cloud API. Methods throw {@linkcode CloudError}. */
 export interface Cloud {
   hosts (): Promise<ListedHost[]>
   offers (): Promise<CloudOffer[]>
-  /** Waits up to `waitMs` for notices after a serial. */
+  /** Waits up to `waitMs` for notices with a serial greater than `after`. */
   notices (after: number, waitMs: number): Promise<ReclaimNotice[]>
   start (wanted: HostWanted): Promise<HostId>
   stop (host: HostId): Promise<void>
 }
 
-/** A call to the cloud API failed; `refused` when the cloud has no such host to give. */
+/** Error of a failed cloud API call; `refused` is true when the cloud has no such host available. */
 export class CloudError extends Error {
   override name = 'CloudError'
   readonly refused: boolean
--- a/endpoints/dial.ts
+++ b/endpoints/dial.ts
@@ -1,7 +1,7 @@
-/** Asks an endpoint's address whether a process listens there. */
+/** TCP check of whether a process listens at an endpoint's address. */
 import { connect } from 'node:net'
 
-/** What became of a new connection. */
+/** Result of a connection attempt. */
 export type DialResult = 'accepted' | 'refused' | 'unanswered'
 
 /** Options of {@linkcode dial}. */
@@ -13,8 +13,8 @@
 const DEFAULT_TIMEOUT_MS = 1000
 
 /**
- * Opens a connection and closes it again.
- * @param address IP number and port, or a URL with both.
+ * Opens a TCP connection and closes it immediately.
+ * @param address IP address and port, or a URL with both.
  */
 export function dial (address: string, options: DialOptions = {}): Promise<DialResult> {
   const { hostname, port } = new URL(address.includes('://') ? address : `tcp://${address}`)
--- a/endpoints/dial_test.ts
+++ b/endpoints/dial_test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest'
 import { dial } from './dial.ts'
 
-test('a dial tells a process that listens from one that is gone', async () => {
+test('dial distinguishes a listening process from a closed port', async () => {
   const server = createServer()
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   const { port } = server.address() as AddressInfo
--- a/endpoints/duties.ts
+++ b/endpoints/duties.ts
@@ -1,14 +1,14 @@
-/** What one daemon at a time does for the whole deployment: orders endpoints and reports use. */
+/** Tasks that one daemon at a time performs for the whole deployment: ordering endpoints and reporting usage. */
 import type { AccountId, FailureDomain, PoolName } from '../core/ids/index.ts'
 
-/** Who gives an order, and under which lease. */
+/** Daemon that issues an order, and the fencing number of its lease. */
 export interface DutyHolder {
   name: string
-  /** Grows whenever the holder changes; an order with a lower one than was seen before is refused. */
+  /** Increases whenever the holder changes. An order with a lower number than one already seen is refused. */
   fencing: number
 }
 
-/** How many endpoints a pool shall have in a failure domain, of one kind: the state wanted, not a step. */
+/** Desired number of endpoints of one kind for a pool in a failure domain. States a target, not a change. */
 export interface EndpointOrder {
   pool: PoolName
   failureDomain: FailureDomain
@@ -16,26 +16,26 @@
   count: number
 }
 
-/** Requests of each client account that began to run in one window. */
+/** Number of requests that started in one window, for each client account. */
 export interface UsageReport {
-  /** Number of the window since the epoch. */
+  /** Index of the window, counted from the epoch. */
   window: number
   counts: Record<AccountId, number>
 }
 
-/** Takes orders and reports. Methods throw {@linkcode DutyError}. */
+/** Receives orders and reports. Methods throw {@linkcode DutyError}. */
 export interface Duties {
   order (order: EndpointOrder, by: DutyHolder): Promise<void>
   report (report: UsageReport, by: DutyHolder): Promise<void>
 }
 
 /**
- * Why a call was not carried out. `refused`: a higher fencing number was seen, or there are no such endpoints to be had; `not-done`: it was
- * turned away and may be sent again; `unsure`: it may be carried out yet, even seconds later.
+ * Why a call failed. `refused`: a higher fencing number was seen, or no such endpoints are available; `not-done`: the call was rejected and
+ * may be sent again; `unsure`: the call may still take effect, even seconds later.
  */
 export type DutyFailure = 'refused' | 'not-done' | 'unsure'
 
-/** A call for a duty failed. */
+/** Error of a failed {@linkcode Duties} call. */
 export class DutyError extends Error {
   override name = 'DutyError'
   readonly failure: DutyFailure
--- a/endpoints/exchange/connection.ts
+++ b/endpoints/exchange/connection.ts
@@ -1,26 +1,26 @@
-/** One connection to an endpoint, for one request at a time. */
+/** Connection to an endpoint that carries one request at a time. */
 import type { Socket } from 'node:net'
 import { buildConnector, Client, type Dispatcher } from 'undici'
 
-/** Longest time for a new connection, in milliseconds: hosts that lost power answer nothing. */
+/** Connect timeout in milliseconds. Needed because a host without power does not refuse connections. */
 const CONNECT_TIMEOUT_MS = 1000
-/** Kept back from the idle time that an endpoint allows, in milliseconds, for a request to arrive before it closes. */
+/** Subtracted from the idle time that an endpoint allows, in milliseconds, so that a request arrives before the endpoint closes the connection. */
 const IDLE_MARGIN_MS = 400
-/** Idle time where an endpoint names none, in milliseconds. */
+/** Idle timeout for endpoints that announce none, in milliseconds. */
 const DEFAULT_IDLE_MS = 4000
-/** A connection that is idle longer is closed whatever the endpoint allows, in milliseconds. */
-const LONGEST_IDLE_MS = 60_000
+/** Maximum idle timeout in milliseconds, whatever the endpoint allows. */
+const MAX_IDLE_MS = 60_000
 
 const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS })
 
-/** A connection and what its socket has told. */
+/** A connection, and whether its socket was ended or reset. */
 export class Connection {
   readonly #client: Client
-  /** The endpoint ended the connection in good order. */
+  /** True if the endpoint ended the connection without a reset. */
   endedCleanly = false
-  /** True once the connection can take no further request. */
+  /** True once the connection accepts no further requests. */
   closed = false
-  /** Requests that were sent on it. */
+  /** Number of requests sent on this connection. */
   used = 0
   /** Called once, when the connection is closed. */
   onClose: () => void = () => {}
@@ -29,12 +29,12 @@
     this.#client = new Client(`http://${address}`, {
       pipelining: 1,
       keepAliveTimeout: DEFAULT_IDLE_MS,
-      keepAliveMaxTimeout: LONGEST_IDLE_MS,
+      keepAliveMaxTimeout: MAX_IDLE_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: (options, callback) => connect(options, (...result) => {
-        if (result[1]) this.#watch(result[1])
+        if (result[1]) this.#trackSocketEnd(result[1])
         callback(...result)
       })
     })
@@ -42,27 +42,28 @@
     this.#client.on('connectionError', () => this.close())
   }
 
-  /** Sends a request; the handler hears all that comes of it. */
+  /** Sends a request. The handler receives its response or error. */
   dispatch (options: Dispatcher.DispatchOptions, handler: Dispatcher.DispatchHandler): void {
     this.used++
     this.#client.dispatch(options, handler)
   }
 
-  /** Closes the connection at once, with whatever is under way on it. */
+  /** Closes the connection immediately and aborts a request in progress. */
   close (): void {
     if (this.closed) return
     this.closed = true
-    this.#client.destroy().catch(() => { /* the connection is gone either way */ })
+    this.#client.destroy().catch(() => { /* the connection is closed in any case */ })
     this.onClose()
   }
 
   /**
-   * The client counts a reset as the end of an answer without a length; only the socket tells the two apart.
+   * Records whether the connection was ended or reset. The HTTP client treats a reset as the end of an answer without a length; only the
+   * socket distinguishes the two.
    *
-   * Even the socket reports the end where bytes and a reset arrive together: the runtime reads the bytes, and takes the hang-up behind them for
-   * the end. A connection that was reset has no peer any more; one that ended in good order has.
+   * When data and a reset arrive together, even the socket reports an end: the runtime reads the data and takes the hang-up after it for the
+   * end. A socket that was reset no longer has a remote address; one that ended normally still has it.
    */
-  #watch (socket: Socket): void {
+  #trackSocketEnd (socket: Socket): void {
     socket.prependListener('end', () => { this.endedCleanly = socket.remoteAddress !== undefined })
     socket.prependListener('error', () => { this.endedCleanly = false })
   }
--- a/endpoints/exchange/connection_pool.ts
+++ b/endpoints/exchange/connection_pool.ts
@@ -1,73 +1,73 @@
-/** Connections to one endpoint. */
+/** Connection pool of one endpoint. */
 import { Connection } from './connection.ts'
 
 /** Options of {@linkcode ConnectionPool}. */
 export interface ConnectionPoolOptions {
-  /** IP number and port. */
+  /** IP address and port. */
   address: string
-  /** Most connections open at once. */
-  most: number
+  /** Maximum number of connections open at once. */
+  maxConnections: number
   /** Called for each connection that is opened. */
   onOpen?: () => void
 }
 
-/** Lends connections, the one used last first, so that the others can grow old and close. */
+/** Pool that reuses the most recently used connection first, so that the others can reach their idle timeout and close. */
 export class ConnectionPool {
   readonly #options: ConnectionPoolOptions
   readonly #idle: Connection[] = []
   readonly #all = new Set<Connection>()
-  #most: number
+  #maxConnections: number
 
   constructor (options: ConnectionPoolOptions) {
     this.#options = options
-    this.#most = options.most
+    this.#maxConnections = options.maxConnections
   }
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get size (): number { return this.#all.size }
-  /** Requests that could be sent now. */
-  get free (): number { return this.#idle.length + Math.max(0, this.#most - this.#all.size) }
+  /** Number of connections that can be acquired now. */
+  get available (): number { return this.#idle.length + Math.max(0, this.#maxConnections - this.#all.size) }
 
-  /** Changes how many connections may be open; what is open stays. */
-  limit (most: number): void {
-    this.#most = most
+  /** Changes the maximum number of connections. Open connections stay open. */
+  limit (maxConnections: number): void {
+    this.#maxConnections = maxConnections
   }
 
-  /** Lends a connection; undefined when all that may be open are busy. */
-  take (): Connection | undefined {
+  /** Acquires an idle or new connection; undefined when the maximum number are in use. */
+  acquire (): Connection | undefined {
     const idle = this.#idle.pop()
     if (idle) return idle
-    return this.#all.size < this.#most ? this.#open() : undefined
+    return this.#all.size < this.#maxConnections ? this.#open() : undefined
   }
 
-  /** Takes a connection back that is ready for another request. */
-  give (connection: Connection): void {
+  /** Returns a connection that is ready for another request. */
+  release (connection: Connection): void {
     if (!connection.closed) this.#idle.push(connection)
   }
 
-  /** Closes every idle connection; those in use close after their request. */
-  retire (): void {
-    this.#most = 0
+  /** Closes every idle connection and opens no new ones. {@linkcode ExchangeClient} closes those in use after their request. */
+  closeIdle (): void {
+    this.#maxConnections = 0
     for (const connection of [...this.#idle]) connection.close()
   }
 
-  /** Closes every connection, with whatever is under way on it. */
+  /** Closes every connection, including those with a request in progress, and opens no new ones. */
   cut (): void {
-    this.#most = 0
+    this.#maxConnections = 0
     for (const connection of [...this.#all]) connection.close()
   }
 
   #open (): Connection {
     const connection = new Connection(this.#options.address)
     this.#all.add(connection)
-    connection.onClose = () => this.#forget(connection)
+    connection.onClose = () => this.#remove(connection)
     this.#options.onOpen?.()
     return connection
   }
 
-  #forget (connection: Connection): void {
+  #remove (connection: Connection): void {
     this.#all.delete(connection)
-    const at = this.#idle.indexOf(connection)
-    if (at >= 0) this.#idle.splice(at, 1)
+    const index = this.#idle.indexOf(connection)
+    if (index >= 0) this.#idle.splice(index, 1)
   }
 }
--- a/endpoints/exchange/exchange.ts
+++ b/endpoints/exchange/exchange.ts
@@ -1,4 +1,4 @@
-/** One request on one connection: reads the endpoint's answer and says exactly how it ended. */
+/** One request on one connection. Reads the endpoint's answer and reports exactly how it ended. */
 import type { Dispatcher } from 'undici'
 import type { AnswerHead, Header } from '../../core/answer/index.ts'
 import { AttemptError, type FailurePoint } from '../../core/outcome/index.ts'
@@ -15,35 +15,36 @@
   dialect: ExchangeDialect
   sink: AttemptSink<Buffer>
   connection: Connection
-  /** Events that the caller already has. */
+  /** Number of events that the caller already has. */
   from: number
-  /** Gives the connection back once it is ready for another request. */
+  /** Returns the connection to its pool once it is ready for another request. */
   release (): void
 }
 
 /**
- * Bytes of a plain answer that are held back until it is whole.
+ * Maximum size of a plain answer that is buffered until it is complete.
  *
- * While nothing was passed on, an answer that breaks off can be asked for again; behind this size memory counts for more.
+ * As long as nothing was forwarded, the request of a truncated answer can be retried. Larger answers are forwarded as they arrive to limit
+ * memory use.
  */
-const HELD_BYTES = 256 * 1024
+const MAX_BUFFERED_BYTES = 256 * 1024
 const SUCCESS = 200
 const REDIRECT = 300
 const SERVER_ERROR = 500
 const NO_CONTENT = 204
 
-/** What is done with the body of an answer. */
-type Reading = 'events' | 'whole' | 'failure' | 'nothing'
+/** How the body of an answer is handled. */
+type BodyHandling = 'events' | 'whole' | 'failure' | 'nothing'
 
-/** Reads one answer. */
+/** Sends one request and reads its answer. */
 export class Exchange implements Dispatcher.DispatchHandler, Attachment {
   readonly #options: ExchangeOptions
   readonly #events = new EventSplitter()
-  readonly #parts: Buffer[] = []
+  readonly #chunks: Buffer[] = []
   #controller: Dispatcher.DispatchController | undefined
   #head: AnswerHead | undefined
-  #reading: Reading = 'nothing'
-  #held = 0
+  #bodyHandling: BodyHandling = 'nothing'
+  #bufferedBytes = 0
   #offset: number
   #done = false
 
@@ -64,7 +65,7 @@
     }, this)
   }
 
-  /** Closes the connection: the endpoint sees that nobody waits any more. */
+  /** Closes the connection, which tells the endpoint that nobody waits for the answer any more. */
   detach (): void {
     if (this.#done) return
     this.#done = true
@@ -78,37 +79,37 @@
 
   onResponseStart (controller: Dispatcher.DispatchController, status: number): void {
     if (this.#done || status < SUCCESS) return
-    const head = { status, headers: headersOf(controller.rawHeaders) }
+    const head = { status, headers: parseRawHeaders(controller.rawHeaders) }
     this.#head = head
     const facts = this.#options.dialect.readAnswer(head)
-    // An answer that came late for an earlier request, or from another program: nothing of it may reach the caller.
+    // A late answer to an earlier request, or one from another program, must not reach the caller.
     if (facts.requestId !== this.#options.req.id) return this.#fail('foreign-answer', 'the answer belongs to another request')
     if (facts.otherEndpoint) return this.#fail('endpoint-gone', 'another endpoint has the address')
     if (facts.notRun) return this.#fail('endpoint-said-not-run', `status ${status}`)
-    if (!facts.genuine) return this.#fail(status < REDIRECT ? 'foreign-answer' : 'endpoint-error', 'the answer is not the endpoint\'s')
-    this.#reading = readingOf(head)
-    if (this.#reading === 'events') this.#options.sink.onHead?.(head)
+    if (!facts.genuine) return this.#fail(status < REDIRECT ? 'foreign-answer' : 'endpoint-error', 'the answer is unsigned or encoded')
+    this.#bodyHandling = bodyHandlingOf(head)
+    if (this.#bodyHandling === 'events') this.#options.sink.onHead?.(head)
   }
 
   onResponseData (_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     if (this.#done) return
-    if (this.#reading === 'events') this.#passEvents(chunk)
-    else this.#hold(chunk)
+    if (this.#bodyHandling === 'events') this.#forwardEvents(chunk)
+    else this.#buffer(chunk)
   }
 
   onResponseEnd (): void {
     if (this.#done) return
-    if (!this.#endedWhole()) return this.#fail('torn-answer', 'the answer broke off')
-    const body = Buffer.concat(this.#parts)
+    if (!this.#isComplete()) return this.#fail('torn-answer', 'the answer broke off')
+    const body = Buffer.concat(this.#chunks)
     this.#done = true
-    // The client closes a connection that cannot be used again a moment later.
+    // Deferred because the client closes a connection that cannot be reused only after this callback.
     setImmediate(() => this.#options.release())
-    if (this.#reading === 'failure') {
+    if (this.#bodyHandling === 'failure') {
       const status = this.#head!.status
       this.#options.sink.onError(new AttemptError(`Cannot use answer: status ${status}`, { point: 'endpoint-error', answer: { head: this.#head!, body } }))
       return
     }
-    if (this.#reading === 'whole') this.#passOn(body)
+    if (this.#bodyHandling === 'whole') this.#forward(body)
     this.#options.sink.onEnd(this.#offset)
   }
 
@@ -121,7 +122,7 @@
     this.#options.sink.onError(point ? new AttemptError(`Cannot read answer: ${err.message}`, { point, cause: err }) : attemptError('Cannot send request', err, { sent }))
   }
 
-  #passEvents (chunk: Buffer): void {
+  #forwardEvents (chunk: Buffer): void {
     for (const event of this.#events.push(chunk)) {
       const offset = event.id === undefined ? this.#offset : event.id - 1
       this.#options.sink.onChunk(offset, [event.bytes])
@@ -129,57 +130,57 @@
     }
   }
 
-  #hold (chunk: Buffer): void {
-    this.#parts.push(chunk)
-    this.#held += chunk.length
-    if (this.#held <= HELD_BYTES || this.#reading !== 'whole') return
-    const bytes = Buffer.concat(this.#parts)
-    this.#parts.length = 0
-    this.#held = 0
-    this.#passOn(bytes)
+  #buffer (chunk: Buffer): void {
+    this.#chunks.push(chunk)
+    this.#bufferedBytes += chunk.length
+    if (this.#bufferedBytes <= MAX_BUFFERED_BYTES || this.#bodyHandling !== 'whole') return
+    const bytes = Buffer.concat(this.#chunks)
+    this.#chunks.length = 0
+    this.#bufferedBytes = 0
+    this.#forward(bytes)
   }
 
-  #passOn (bytes: Buffer): void {
+  #forward (bytes: Buffer): void {
     this.#options.sink.onHead?.(this.#head!)
     if (bytes.length === 0) return
     this.#options.sink.onChunk(this.#offset, [bytes])
     this.#offset++
   }
 
-  /** An answer without a length ends with its connection; if that was reset, it may have lost its end. */
-  #endedWhole (): boolean {
-    if (this.#events.pending > 0) return false
-    return isFramed(this.#head!) || this.#options.connection.endedCleanly
+  /** An answer without a length ends with its connection; it may be truncated if the connection was reset. */
+  #isComplete (): boolean {
+    if (this.#events.pendingBytes > 0) return false
+    return isSelfDelimited(this.#head!) || this.#options.connection.endedCleanly
   }
 
-  #fail (point: FailurePoint, why: string): void {
+  #fail (point: FailurePoint, reason: string): void {
     this.#done = true
     this.#options.connection.close()
-    this.#options.sink.onError(new AttemptError(`Cannot use answer: ${why}`, { point }))
+    this.#options.sink.onError(new AttemptError(`Cannot use answer: ${reason}`, { point }))
   }
 }
 
-function readingOf (head: AnswerHead): Reading {
+function bodyHandlingOf (head: AnswerHead): BodyHandling {
   if (head.status >= SERVER_ERROR) return 'failure'
   return head.status < REDIRECT && valueOf(head, 'content-type')?.startsWith('text/event-stream') ? 'events' : 'whole'
 }
 
-function isFramed (head: AnswerHead): boolean {
+function isSelfDelimited (head: AnswerHead): boolean {
   return head.status === NO_CONTENT || valueOf(head, 'content-length') !== undefined || valueOf(head, 'transfer-encoding') !== undefined
 }
 
-/** The first value of a header, whatever the case of its name. */
+/** Returns the first value of a header. Header names are compared without regard to case; `name` must be in lower case. */
 export function valueOf (head: AnswerHead, name: string): string | undefined {
   return head.headers.find(([key]) => key.toLowerCase() === name)?.[1]
 }
 
-function headersOf (raw: Dispatcher.DispatchController['rawHeaders']): Header[] {
+function parseRawHeaders (raw: Dispatcher.DispatchController['rawHeaders']): Header[] {
   const flat = (raw ?? []) as ReadonlyArray<Buffer | string>
   const headers: Header[] = []
-  for (let i = 0; i + 1 < flat.length; i += 2) headers.push([text(flat[i]!), text(flat[i + 1]!)])
+  for (let i = 0; i + 1 < flat.length; i += 2) headers.push([decodeLatin1(flat[i]!), decodeLatin1(flat[i + 1]!)])
   return headers
 }
 
-function text (value: Buffer | string): string {
+function decodeLatin1 (value: Buffer | string): string {
   return typeof value === 'string' ? value : value.toString('latin1')
 }
--- a/endpoints/exchange/exchange_client.ts
+++ b/endpoints/exchange/exchange_client.ts
@@ -1,4 +1,4 @@
-/** Connections of one daemon to all endpoints that it proxies to. */
+/** Connection pools of one daemon for all endpoints that it proxies to. */
 import type { EndpointId } from '../../core/ids/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
 import { ConnectionPool } from './connection_pool.ts'
@@ -6,13 +6,13 @@
 
 /** Options of {@linkcode ExchangeClient}. */
 export interface ExchangeClientOptions {
-  /** Most connections that this daemon may have to one endpoint. */
+  /** Returns the maximum number of connections that this daemon may have to an endpoint. */
   connectionsTo (view: EndpointView): number
   /** Called for each connection that is opened. */
   onOpen?: (view: EndpointView) => void
 }
 
-/** Keeps one pool of connections for each endpoint. */
+/** Keeps one connection pool for each endpoint. */
 export class ExchangeClient {
   readonly #options: ExchangeClientOptions
   readonly #pools = new Map<EndpointId, ConnectionPool>()
@@ -21,46 +21,46 @@
     this.#options = options
   }
 
-  /** Requests that could be sent to an endpoint now. */
-  free (view: EndpointView): number {
-    return this.#poolOf(view).free
+  /** Number of connections to an endpoint that can be acquired now. */
+  available (view: EndpointView): number {
+    return this.#poolOf(view).available
   }
 
-  /** Lends a connection; undefined when all that may be open are busy. */
-  take (view: EndpointView): Connection | undefined {
-    return this.#poolOf(view).take()
+  /** Acquires an idle or new connection; undefined when the maximum number are in use. */
+  acquire (view: EndpointView): Connection | undefined {
+    return this.#poolOf(view).acquire()
   }
 
-  /** Takes back a connection that is ready for another request. */
-  give (view: EndpointView, connection: Connection): void {
+  /** Returns a connection that is ready for another request; closes it if its endpoint is no longer known. */
+  release (view: EndpointView, connection: Connection): void {
     const pool = this.#pools.get(view.id)
-    if (pool) pool.give(connection)
+    if (pool) pool.release(connection)
     else connection.close()
   }
 
-  /** Closes idle connections to endpoints that are gone. */
+  /** Removes the pools of all other endpoints and closes their idle connections. */
   keepOnly (known: ReadonlySet<EndpointId>): void {
     for (const [id, pool] of this.#pools) {
       if (known.has(id)) continue
-      pool.retire()
+      pool.closeIdle()
       this.#pools.delete(id)
     }
   }
 
-  /** Closes all connections to an endpoint whose process ended, those with a request on them too. */
+  /** Closes all connections to an endpoint whose process ended, including those with a request in progress. */
   cut (id: EndpointId): void {
     this.#pools.get(id)?.cut()
     this.#pools.delete(id)
   }
 
   #poolOf (view: EndpointView): ConnectionPool {
-    const most = this.#options.connectionsTo(view)
+    const maxConnections = this.#options.connectionsTo(view)
     let pool = this.#pools.get(view.id)
     if (!pool) {
-      pool = new ConnectionPool({ address: view.address, most, onOpen: () => this.#options.onOpen?.(view) })
+      pool = new ConnectionPool({ address: view.address, maxConnections, onOpen: () => this.#options.onOpen?.(view) })
       this.#pools.set(view.id, pool)
     }
-    pool.limit(most)
+    pool.limit(maxConnections)
     return pool
   }
 }
--- a/endpoints/exchange/exchange_dialect.ts
+++ b/endpoints/exchange/exchange_dialect.ts
@@ -1,33 +1,33 @@
-/** What of an HTTP exchange depends on the header names of a platform. */
+/** The part of an HTTP exchange that depends on the header names of a platform. */
 import type { IncomingMessage } from 'node:http'
 import type { AnswerHead, Header } from '../../core/answer/index.ts'
 import type { EndpointView, Lane } from '../../core/routing/index.ts'
 import type { AdmittedRequest, ProxiedRequest } from './proxied_request.ts'
 
-/** What one attempt adds to the caller's request. */
+/** Values that one attempt adds to the caller's request. */
 export interface AttemptFacts {
   view: EndpointView
-  /** Milliseconds that the endpoint may take. */
+  /** Milliseconds within which the endpoint must answer. */
   deadlineInMs: number
-  /** Events that the caller already has; the stream goes on behind them. */
+  /** Number of events that the caller already has; the stream resumes after them. */
   resumeFrom: number
-  /** Where the request stands among others at the endpoint; undefined for a plain call. */
+  /** Priority lane of the request at the endpoint; undefined for a plain call. */
   lane: Lane | undefined
 }
 
-/** What an endpoint's answer says of its attempt. */
+/** What the headers of an endpoint's answer say about its attempt. */
 export interface AnswerFacts {
-  /** The request that the answer belongs to. */
+  /** Id of the request that the answer belongs to. */
   requestId: string | undefined
-  /** Signed by the endpoint, and its body not encoded on the way. */
+  /** True if the answer is signed by the endpoint and its body has no content encoding. */
   genuine: boolean
-  /** The endpoint promises that it did not run the request. */
+  /** True if the endpoint guarantees that it did not run the request. */
   notRun: boolean
-  /** Another endpoint has the address now. */
+  /** True if another endpoint has the address now. */
   otherEndpoint: boolean
 }
 
-/** A request that cannot be handed on as it is. */
+/** Error for a request that cannot be forwarded as it is. */
 export class BadRequestError extends Error {
   override name = 'BadRequestError'
 }
@@ -35,11 +35,12 @@
 /** Reads and writes the platform's headers. */
 export interface ExchangeDialect {
   /**
-   * Takes a caller's request apart, all but its body.
-   * @throws {BadRequestError} When a header that decides about the request is missing or makes no sense.
+   * Parses a caller's request, except for its body.
+   * @throws {BadRequestError} If a header that affects how the request is handled is missing or invalid.
    */
   readRequest (req: IncomingMessage): Omit<ProxiedRequest, 'body'>
-  /** Headers of one attempt at an endpoint. */
+  /** Returns the headers of one attempt at an endpoint. */
   attemptHeaders (req: AdmittedRequest, attempt: AttemptFacts): Header[]
+  /** Parses the head of an endpoint's answer. */
   readAnswer (head: AnswerHead): AnswerFacts
 }
--- a/endpoints/exchange/exchange_runner.ts
+++ b/endpoints/exchange/exchange_runner.ts
@@ -16,7 +16,7 @@
 
 const NO_ATTACHMENT: Attachment = { detach: () => {} }
 
-/** Sends the caller's bytes to endpoints and gives back theirs. */
+/** Forwards a caller's request to endpoints and returns their answers, bytes unchanged. */
 export class ExchangeRunner implements AttemptRunner<Buffer> {
   readonly #options: ExchangeRunnerOptions
 
@@ -26,19 +26,19 @@
 
   start (view: EndpointView, spec: AttemptSpec<Buffer>, sink: AttemptSink<Buffer>): Attachment {
     const { req, client, dialect } = this.#options
-    const connection = client.take(view)
+    const connection = client.acquire(view)
     if (!connection) {
-      // Told later, as every other failure is: the task has not noted the attempt yet.
+      // Reported asynchronously like every other failure, because the task has not recorded the attempt yet.
       queueMicrotask(() => sink.onError(new AttemptError('Cannot send: no connection is free', { point: 'before-send' })))
       return NO_ATTACHMENT
     }
     const headers = dialect.attemptHeaders(req, { view, deadlineInMs: spec.deadlineInMs, resumeFrom: spec.from, lane: req.demand && spec.lane })
-    const exchange = new Exchange({ req, dialect, sink, connection, from: spec.from, release: () => client.give(view, connection) })
+    const exchange = new Exchange({ req, dialect, sink, connection, from: spec.from, release: () => client.release(view, connection) })
     exchange.send(headers)
     return exchange
   }
 
-  /** Closing the connection is the only word that an endpoint understands; it does not confirm it. */
+  /** Does nothing: the only way to stop an attempt is to close its connection, which the endpoint does not confirm. */
   async stop (): Promise<StopReport<Buffer>> {
     return { stopped: true, pieces: [] }
   }
--- a/endpoints/exchange/proxied_request.ts
+++ b/endpoints/exchange/proxied_request.ts
@@ -1,25 +1,25 @@
-/** A caller's HTTP request on its way to an endpoint, its bytes unchanged. */
+/** A caller's HTTP request that is forwarded to an endpoint with its bytes unchanged. */
 import type { Header } from '../../core/answer/index.ts'
 import type { AccountId, RequestId } from '../../core/ids/index.ts'
 import type { Demand } from '../../core/work/index.ts'
 
-/** What of a request is handed on, and what of it decides how. */
+/** The forwarded parts of a request and the values that determine how it is handled. */
 export interface ProxiedRequest {
   id: RequestId
   method: string
-  /** Path and query as the caller wrote them. */
+  /** Path and query as the caller sent them. */
   target: string
   host: string
-  /** Headers that go on to the endpoint as they are. */
+  /** Headers that are forwarded to the endpoint unchanged. */
   headers: readonly Header[]
   body: Buffer
-  /** What the caller proves its account with. */
+  /** Credential that identifies the caller's account. */
   credential: string | undefined
-  /** Milliseconds that the caller waits, from when it sent the request. */
+  /** Milliseconds that the caller waits, counted from when it sent the request. */
   deadlineInMs: number | undefined
   /** Undefined for a plain call. */
   demand: Demand | undefined
-  /** Events of the stream that the caller already has. */
+  /** Number of events of the stream that the caller already has. */
   resumeFrom: number
 }
 
--- a/endpoints/http_cloud.ts
+++ b/endpoints/http_cloud.ts
@@ -5,7 +5,7 @@
 
 const TIMEOUT_MS = 3000
 
-/** Cloud API over HTTP. */
+/** HTTP client of the cloud API. */
 export class HttpCloud implements Cloud {
   readonly #url: string
 
--- a/endpoints/http_engine.ts
+++ b/endpoints/http_engine.ts
@@ -1,4 +1,4 @@
-/** Model engine over HTTP, streams as server-sent events. */
+/** Client of a model engine over HTTP. Streams are server-sent events. */
 import { createParser, type EventSourceMessage } from 'eventsource-parser'
 import { Pool, type Dispatcher } from 'undici'
 import { AttemptError } from '../core/outcome/index.ts'
@@ -11,23 +11,23 @@
 export interface HttpEngineOptions {
   /** Address such as `http://10.0.0.1:8000`. */
   url: string
-  /** Connections kept to the engine. Default 64. */
+  /** Maximum number of connections to the engine. Default 64. */
   connections?: number
-  /** Longest silence on a stream in milliseconds before it counts as lost. Default 10,000. */
-  silenceMs?: number
+  /** Milliseconds without data after which a stream counts as lost. Default 10,000. */
+  idleTimeoutMs?: number
 }
 
 const CONNECT_TIMEOUT_MS = 1000
 const CALL_TIMEOUT_MS = 5000
 
-/** Speaks to one engine over its own connections. */
+/** HTTP client of one engine with its own connection pool. */
 export class HttpEngine implements ModelEngine {
   readonly #pool: Pool
-  readonly #silenceMs: number
+  readonly #idleTimeoutMs: number
 
   constructor (options: HttpEngineOptions) {
     this.#pool = new Pool(options.url, { connections: options.connections ?? 64, connect: { timeout: CONNECT_TIMEOUT_MS }, pipelining: 1 })
-    this.#silenceMs = options.silenceMs ?? 10_000
+    this.#idleTimeoutMs = options.idleTimeoutMs ?? 10_000
   }
 
   start (spec: StreamSpec, sink: StreamSink): Attachment {
@@ -63,10 +63,10 @@
     await this.#pool.destroy()
   }
 
-  /** Reads without the body's stream and iterator: at thousands of tokens a second these cost more than the tokens. */
+  /** Uses `dispatch()` instead of a body stream or iterator: at thousands of tokens a second, these cost more than the tokens themselves. */
   #receive (opts: Dispatcher.DispatchOptions, sink: StreamSink): Attachment {
     const reader = new StreamReader(sink)
-    this.#pool.dispatch({ ...opts, headersTimeout: this.#silenceMs, bodyTimeout: this.#silenceMs }, reader)
+    this.#pool.dispatch({ ...opts, headersTimeout: this.#idleTimeoutMs, bodyTimeout: this.#idleTimeoutMs }, reader)
     return reader
   }
 
@@ -85,7 +85,7 @@
   }
 }
 
-/** Takes one response apart into what its sink wants. */
+/** Parses the events of one response and passes them to its sink. */
 class StreamReader implements Dispatcher.DispatchHandler, Attachment {
   readonly #sink: StreamSink
   readonly #decoder = new TextDecoder()
@@ -117,7 +117,7 @@
   }
 
   onResponseEnd (): void {
-    this.#fail(this.#refusal ?? new AttemptError('Cannot read stream: it ended without its end mark', { point: 'torn-answer' }))
+    this.#fail(this.#refusal ?? new AttemptError('Cannot read stream: it ended without an end event', { point: 'torn-answer' }))
   }
 
   onResponseError (_controller: Dispatcher.DispatchController, err: Error): void {
--- a/endpoints/http_service.ts
+++ b/endpoints/http_service.ts
@@ -1,11 +1,11 @@
-/** Plain service over HTTP. */
+/** Client of a plain service over HTTP. */
 import { Pool } from 'undici'
 import { attemptError, refusalError } from './_attempt_errors.ts'
 import type { PlainService, ServiceCall } from './plain_service.ts'
 
 const CONNECT_TIMEOUT_MS = 1000
 
-/** Speaks to one plain service over its own connections. */
+/** HTTP client of one plain service with its own connection pool. */
 export class HttpService implements PlainService {
   readonly #pool: Pool
 
--- a/endpoints/model_engine.ts
+++ b/endpoints/model_engine.ts
@@ -1,4 +1,4 @@
-/** What the daemons ask of a model engine, whatever its wire protocol. */
+/** Protocol-independent interface of a model engine. */
 import type { EndpointLoad } from '../core/routing/index.ts'
 import type { Attachment, AttemptSink, StopReport } from './attempt.ts'
 
@@ -10,35 +10,35 @@
   /** Tokens that earlier attempts produced; the engine continues after them. */
   done: readonly string[]
   maxTokens: number
-  /** Higher goes first. */
+  /** Streams with a higher priority are scheduled first. */
   priority: number
-  /** Milliseconds that the engine keeps the stream when nobody reads it, so that another daemon can resume it. */
+  /** Milliseconds that the engine keeps an unread stream, so that another daemon can resume it. */
   keepMs: number
-  /** Imported KV cache to continue from; what it holds beyond `done` is dropped, since nobody was given it. */
+  /** Imported KV cache to continue from. Its content beyond `done` is dropped because it was never delivered. */
   kvHandle?: string
 }
 
 /** Receives one stream of tokens. */
 export type StreamSink = AttemptSink<string>
 
-/** An order states the wanted state, never a step, so that repeating it or giving it twice does no harm. */
+/** Desired state of an engine. An order is idempotent because it states a target, not a change. */
 export interface EngineOrder {
-  /** Fencing number of the lease under which it is given. */
+  /** Fencing number of the lease under which the order is issued. */
   fencing: number
   models: readonly string[]
   role: 'both' | 'prefill' | 'decode'
 }
 
-/** One model engine. Methods throw {@linkcode AttemptError}. */
+/** Client of one model engine. Methods throw {@linkcode AttemptError}. */
 export interface ModelEngine {
   start (spec: StreamSpec, sink: StreamSink): Attachment
-  /** Receives a running stream again, from an offset. */
+  /** Reattaches to a running stream from an offset. */
   resume (streamId: string, from: number, sink: StreamSink): Attachment
   cancel (streamId: string, from: number): Promise<StopReport>
-  /** Moves the stream's KV cache to another engine and stops it here; returns a handle that the target takes. */
+  /** Moves the stream's KV cache to another engine and stops the stream here; returns a handle that the target accepts. */
   exportKv (streamId: string, toAddress: string): Promise<string>
   load (): Promise<EndpointLoad>
   order (order: EngineOrder): Promise<void>
-  /** The state that the engine is in, to be compared with the wanted one. */
+  /** Returns the order that the engine currently follows, for comparison with the desired one. */
   orders (): Promise<EngineOrder | undefined>
 }
--- a/endpoints/plain_service.ts
+++ b/endpoints/plain_service.ts
@@ -1,13 +1,13 @@
-/** What the daemons ask of a plain service. */
+/** Interface of a plain service, which answers each call with one string. */
 
-/** One call. */
+/** One call to a plain service. */
 export interface ServiceCall {
   requestId: string
   input: string
   timeoutMs: number
 }
 
-/** One plain service. Throws {@linkcode AttemptError}; a call is never repeated by the adapter. */
+/** Client of one plain service. Throws {@linkcode AttemptError}. Implementations never retry a call. */
 export interface PlainService {
   call (call: ServiceCall): Promise<string>
 }
