--- a/store/budgeted_store.ts
+++ b/store/budgeted_store.ts
@@ -1,15 +1,15 @@
-/** Keeps every use of the store within its own rate, and counts what it spends. */
+/** Rate limiting, backoff and call counting for each use of the store. */
 import { delay, steadyNow } from '../core/time/index.ts'
 import { StoreError, type Changes, type ObjectStore, type Snapshot, type StoredObject } from './object_store.ts'
 
-/** What a call to the store is for. */
+/** Purpose of a call to the store. */
 export type StoreUse = 'config' | 'once' | 'audit' | 'members' | 'lease' | 'fleet' | 'quarantine'
 
-/** Calls one daemon may make for one use. */
+/** Rate limit of one daemon for one use. */
 export interface StoreBudget {
-  /** Calls a second in the long run. */
+  /** Sustained calls per second. */
   perS: number
-  /** Calls that may be made at once. */
+  /** Maximum number of calls in a burst. */
   burst: number
 }
 
@@ -19,26 +19,26 @@
   budget: StoreBudget
   /** Seeded random source in [0, 1) for jitter. */
   random: () => number
-  /** Called once for every call that reaches the store. */
+  /** Called after every call to the store. */
   onCall?: (use: StoreUse, kind: 'read' | 'write' | 'watch', failed: boolean) => void
 }
 
-const FIRST_BACKOFF_MS = 100
-const LONGEST_BACKOFF_MS = 10_000
+const INITIAL_BACKOFF_MS = 100
+const MAX_BACKOFF_MS = 10_000
 
 /**
  * Wraps a store for one use.
  *
- * Guards against a herd when the store returns after an outage: after a failure the next call waits a random time that doubles up to
- * 10 s, so daemons that failed together do not come back together; and identical reads in flight share one call.
+ * Prevents a thundering herd when the store recovers from an outage: after a failure, the next call waits a random time whose range doubles
+ * up to 10 s, so that daemons that failed together do not retry together. Concurrent reads of the same key share one call.
  */
 export class BudgetedStore implements ObjectStore {
   readonly #inner: ObjectStore
   readonly #options: BudgetedStoreOptions
   readonly #reads = new Map<string, Promise<StoredObject | undefined>>()
   #tokens: number
-  #filledAtMs = steadyNow()
-  #failuresInRow = 0
+  #refilledAtMs = steadyNow()
+  #consecutiveFailures = 0
   #notBeforeMs = 0
 
   constructor (inner: ObjectStore, options: BudgetedStoreOptions) {
@@ -80,10 +80,10 @@
   }
 
   async #call<T> (kind: 'read' | 'write' | 'watch', run: () => Promise<T>): Promise<T> {
-    await this.#pace()
+    await this.#waitForBudget()
     try {
       const result = await run()
-      this.#failuresInRow = 0
+      this.#consecutiveFailures = 0
       this.#options.onCall?.(this.#options.use, kind, false)
       return result
     } catch (err) {
@@ -94,16 +94,16 @@
   }
 
   #backOff (): void {
-    const longest = Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** this.#failuresInRow)
-    this.#failuresInRow++
-    this.#notBeforeMs = steadyNow() + longest * (0.5 + this.#options.random() / 2)
+    const maxDelayMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** this.#consecutiveFailures)
+    this.#consecutiveFailures++
+    this.#notBeforeMs = steadyNow() + maxDelayMs * (0.5 + this.#options.random() / 2)
   }
 
-  async #pace (): Promise<void> {
+  async #waitForBudget (): Promise<void> {
     const { perS, burst } = this.#options.budget
     const now = steadyNow()
-    this.#tokens = Math.min(burst, this.#tokens + (now - this.#filledAtMs) * perS / 1000) - 1
-    this.#filledAtMs = now
+    this.#tokens = Math.min(burst, this.#tokens + (now - this.#refilledAtMs) * perS / 1000) - 1
+    this.#refilledAtMs = now
     const budgetWaitMs = this.#tokens < 0 ? -this.#tokens * 1000 / perS : 0
     const waitMs = Math.max(budgetWaitMs, this.#notBeforeMs - now)
     if (waitMs > 0) await delay(waitMs)
--- a/store/change_log.ts
+++ b/store/change_log.ts
@@ -1,50 +1,50 @@
-/** A copy of one prefix's objects that tells what changed after any version that it saw. */
+/** A copy of all objects with one key prefix that can list the changes after earlier versions. */
 import type { Changes, Snapshot, StoredObject } from './object_store.ts'
 
 /** Options of {@linkcode ChangeLog}. */
 export interface ChangeLogOptions {
-  /** Removed keys that are remembered. Default 2,000: what a large fleet's endpoints make in several minutes of rolling restarts. */
-  mostRemoved?: number
+  /** Maximum number of removed keys to remember. Default 2,000: the removals of a large fleet's endpoints in several minutes of rolling restarts. */
+  maxRemovedKeys?: number
 }
 
-const DEFAULT_MOST_REMOVED = 2000
+const DEFAULT_MAX_REMOVED_KEYS = 2000
 
-/** Listings that left such gaps and are remembered; each takes ten seconds at least to follow on the last. */
-const MOST_GAPS = 32
+/** Maximum number of gaps to remember. Gaps are left by listings, which are at least ten seconds apart. */
+const MAX_GAPS = 32
 
-/** Versions between these two were never seen. */
+/** Range of versions, both ends excluded, that the log never saw. */
 interface Gap { after: number, before: number }
 
-/** What the log holds of one key: the object, or nothing where it was removed, as of a version. */
+/** State of one key as of a version: its object, or undefined if it was removed. */
 interface Entry { version: number, object: StoredObject | undefined }
 
 /**
- * Remembers the last state of each key and the version at which it came to be.
+ * Records the last state of each key and the version of its last change.
  *
- * Whoever follows the store through this daemon may be at an older version than this copy, or at a newer one when it asked the store meanwhile. An answer holds
- * just what is newer than the asker's version, so that nothing is lost and nothing older replaces what the asker has.
+ * A daemon that follows the store through this one may be at an older version than this copy, or at a newer one if it has asked the store in
+ * the meantime. An answer contains only changes after the caller's version, so that no change is lost and no older state replaces a newer one.
  */
 export class ChangeLog {
-  readonly #mostRemoved: number
+  readonly #maxRemovedKeys: number
   readonly #entries = new Map<string, Entry>()
   readonly #removed = new Set<string>()
   #version: number | undefined
-  /** Changes up to here cannot be told apart from what was there before. */
-  #floor = 0
-  /** Between two versions that were listed and not watched, keys may have come and gone again without a trace here. */
+  /** The oldest version for which changes can be listed; removals up to it are not known. */
+  #oldestAnswerable = 0
+  /** Ranges between a copy and the listing that replaced it, in which keys may have been created and removed unseen. */
   #gaps: Gap[] = []
 
   constructor (options: ChangeLogOptions = {}) {
-    this.#mostRemoved = options.mostRemoved ?? DEFAULT_MOST_REMOVED
+    this.#maxRemovedKeys = options.maxRemovedKeys ?? DEFAULT_MAX_REMOVED_KEYS
   }
 
-  /** Version up to which the copy is whole; undefined before the first listing. */
+  /** Version up to which the copy is complete; undefined before the first listing. */
   get version (): number | undefined { return this.#version }
 
-  /** Takes in a listing. */
+  /** Applies a listing. */
   listed ({ objects, version }: Snapshot): void {
-    if (this.#version === undefined) this.#floor = version
-    else this.#skipped(this.#version, version)
+    if (this.#version === undefined) this.#oldestAnswerable = version
+    else this.#addGap(this.#version, version)
     const present = new Set(objects.map(({ key }) => key))
     const removed = [...this.#entries].filter(([key, entry]) => entry.object && !present.has(key) && entry.version <= version).map(([key]) => key)
     this.#version = Math.max(this.#version ?? 0, version)
@@ -52,16 +52,16 @@
     for (const key of removed) this.#remove(key, version)
   }
 
-  /** Takes in changes, which follow on the version that the copy has. */
+  /** Applies changes that directly follow the version of the copy. */
   changed ({ objects, removed, version }: Changes): void {
     this.#version = Math.max(this.#version ?? 0, version)
     for (const object of objects) this.#put(object)
     for (const key of removed) this.#remove(key, version)
   }
 
-  /** What changed after a version; undefined where the log does not go back so far. */
+  /** Returns the changes after a version; undefined if the log cannot list them completely. */
   since (after: number): Changes | undefined {
-    if (this.#version === undefined || after < this.#floor || this.#gaps.some((gap) => gap.after < after && after < gap.before)) return undefined
+    if (this.#version === undefined || after < this.#oldestAnswerable || this.#gaps.some((gap) => gap.after < after && after < gap.before)) return undefined
     const newer = [...this.#entries].filter(([, entry]) => entry.version > after)
     return {
       objects: newer.flatMap(([, { object }]) => object ?? []),
@@ -70,11 +70,11 @@
     }
   }
 
-  /** An asker from within the gap may have a key that this copy never had, and would not hear of its removal. */
-  #skipped (after: number, before: number): void {
+  /** Records a gap: a caller at a version within it may have a key that this copy never had, whose removal cannot be reported. */
+  #addGap (after: number, before: number): void {
     if (before <= after + 1) return
     this.#gaps.push({ after, before })
-    if (this.#gaps.length > MOST_GAPS) this.#floor = Math.max(this.#floor, this.#gaps.shift()!.before)
+    if (this.#gaps.length > MAX_GAPS) this.#oldestAnswerable = Math.max(this.#oldestAnswerable, this.#gaps.shift()!.before)
   }
 
   #put (object: StoredObject): void {
@@ -84,20 +84,20 @@
     this.#entries.set(object.key, { version: object.version, object })
   }
 
-  /** An object that was made again after its removal has a higher version than the answer that told of the removal. */
+  /** Ignores the removal if the object was created again, in which case it has a higher version than the removal. */
   #remove (key: string, version: number): void {
     const known = this.#entries.get(key)
     if (known && known.version > version) return
     this.#entries.set(key, { version, object: undefined })
     this.#removed.delete(key)
     this.#removed.add(key)
-    this.#forgetOldest()
+    this.#evictOldestRemovals()
   }
 
-  #forgetOldest (): void {
+  #evictOldestRemovals (): void {
     for (const key of this.#removed) {
-      if (this.#removed.size <= this.#mostRemoved) return
-      this.#floor = Math.max(this.#floor, this.#entries.get(key)!.version)
+      if (this.#removed.size <= this.#maxRemovedKeys) return
+      this.#oldestAnswerable = Math.max(this.#oldestAnswerable, this.#entries.get(key)!.version)
       this.#entries.delete(key)
       this.#removed.delete(key)
     }
--- a/store/change_log_test.ts
+++ b/store/change_log_test.ts
@@ -5,7 +5,7 @@
 
 const object = (key: string, version: number): StoredObject => ({ key, version, value: `${key} at ${version}` })
 
-test('an asker is told just what came after its version', () => {
+test('since returns only the changes after the given version', () => {
   const log = new ChangeLog()
   log.listed({ objects: [object('a', 3), object('b', 5)], version: 6 })
   log.changed({ objects: [object('c', 8)], removed: ['a'], version: 9 })
@@ -14,22 +14,22 @@
   expect(log.since(12)).toEqual({ objects: [], removed: [], version: 12 })
 })
 
-test('an asker from before the first listing is told nothing, since removals before it are not known', () => {
+test('since returns undefined for a version before the first listing, because earlier removals are not known', () => {
   const log = new ChangeLog()
   expect(log.since(0)).toBeUndefined()
   log.listed({ objects: [object('a', 3)], version: 6 })
   expect(log.since(5)).toBeUndefined()
 })
 
-test('a listing after an outage tells of what went meanwhile', () => {
+test('a listing after an outage reports the objects removed in the meantime', () => {
   const log = new ChangeLog()
   log.listed({ objects: [object('a', 1), object('b', 2)], version: 2 })
   log.listed({ objects: [object('b', 2)], version: 7 })
   expect(log.since(2)).toEqual({ objects: [], removed: ['a'], version: 7 })
 })
 
-test('of removals that are no longer remembered, no asker is told as if nothing had gone', () => {
-  const log = new ChangeLog({ mostRemoved: 1 })
+test('since returns undefined for a version before an evicted removal', () => {
+  const log = new ChangeLog({ maxRemovedKeys: 1 })
   log.listed({ objects: [object('a', 1), object('b', 2)], version: 2 })
   log.changed({ objects: [], removed: ['a'], version: 3 })
   log.changed({ objects: [], removed: ['b'], version: 4 })
@@ -37,14 +37,14 @@
   expect(log.since(3)).toEqual({ objects: [], removed: ['b'], version: 4 })
 })
 
-/** A store's whole history: each step writes or removes one key, at the version of its number. */
+/** One step in the history of a store: writes or removes one key. Its position, counted from 1, is the version. */
 interface Step { key: string, removes: boolean }
 
 function changesBetween (steps: readonly Step[], after: number, upTo: number): Changes {
-  const last = new Map(steps.slice(after, upTo).map((step, i) => [step.key, { ...step, version: after + i + 1 }]))
+  const lastSteps = new Map(steps.slice(after, upTo).map((step, i) => [step.key, { ...step, version: after + i + 1 }]))
   return {
-    objects: [...last.values()].filter(({ removes }) => !removes).map(({ key, version }) => object(key, version)),
-    removed: [...last.values()].filter(({ removes }) => removes).map(({ key }) => key),
+    objects: [...lastSteps.values()].filter(({ removes }) => !removes).map(({ key, version }) => object(key, version)),
+    removed: [...lastSteps.values()].filter(({ removes }) => removes).map(({ key }) => key),
     version: upTo
   }
 }
@@ -55,11 +55,11 @@
   return state
 }
 
-test('random schedules: followers that go to and fro between the store and daemons that lag end where the store is', () => {
+test('random schedules: a follower that switches between the store and lagging daemons keeps a correct copy', () => {
   const step = fc.record({ key: fc.constantFrom('a', 'b', 'c', 'd'), removes: fc.boolean() })
   const turn = fc.record({ source: fc.integer({ min: 0, max: 2 }), lag: fc.integer({ min: 0, max: 5 }), lists: fc.boolean() })
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.array(turn, { maxLength: 40 }), (steps, turns) => {
-    const relays = [new ChangeLog({ mostRemoved: 2 }), new ChangeLog({ mostRemoved: 2 })]
+    const relays = [new ChangeLog({ maxRemovedKeys: 2 }), new ChangeLog({ maxRemovedKeys: 2 })]
     const relayAt = [0, 0]
     for (const relay of relays) relay.listed({ objects: [], version: 0 })
     const copy = new Map<string, number>()
--- a/store/http_store.ts
+++ b/store/http_store.ts
@@ -6,11 +6,11 @@
 export interface HttpStoreOptions {
   /** Base address, such as `http://10.0.0.1:7000`. */
   url: string
-  /** Milliseconds for one call, beside a watch's own wait. Default 3,000. */
+  /** Timeout of one call in milliseconds, in addition to the wait time of a watch. Default 3,000. */
   timeoutMs?: number
 }
 
-/** Object API over HTTP: `If-Match` and `If-None-Match` carry the conditions. */
+/** HTTP client of the object API. Conditional writes use `If-Match` and `If-None-Match`. */
 export class HttpStore implements ObjectStore {
   readonly #url: string
   readonly #timeoutMs: number
@@ -71,7 +71,7 @@
       if (res.statusCode !== 410 && res.statusCode !== 429 && res.statusCode < 500) return res
       await res.body.dump()
       if (res.statusCode === 410) throw new StoreError(`Cannot ${method} ${path}: its history is gone`, { failure: 'history-gone' })
-      // Only 429 and 503 promise that nothing was applied.
+      // Only 429 and 503 guarantee that nothing was applied.
       const refused = res.statusCode === 429 || res.statusCode === 503
       throw new StoreError(`Cannot ${method} ${path}: status ${res.statusCode}`, { failure: refused ? 'not-applied' : 'unsure' })
     } catch (err) {
--- a/store/http_store_test.ts
+++ b/store/http_store_test.ts
@@ -15,7 +15,7 @@
 
 const failureOf = (call: Promise<unknown>) => call.then(() => 'none', (err: { failure: StoreFailure }) => err.failure)
 
-test('objects are created once, replaced under their version, listed in pages and watched', async () => {
+test('objects are created once, updated only at their version, listed in pages and watched', async () => {
   const version = await store.create('a/1', 'one')
   expect(await failureOf(store.create('a/1', 'again'))).toBe('conflict')
   const next = await store.update('a/1', 'two', version)
@@ -32,7 +32,7 @@
   expect(await store.get('a/2')).toBeUndefined()
 })
 
-test('a refusal is certain, a lost answer is not, and reading back settles it', async () => {
+test('a refused write is not-applied, a lost answer is unsure, and reading back resolves it', async () => {
   inner.faults.down = true
   expect(await failureOf(store.create('k', 'v'))).toBe('not-applied')
   inner.faults.down = false
@@ -43,7 +43,7 @@
   expect(await writeSurely(store, 'sure', { writeId: 'other', data: 2, version: 0 })).toMatchObject({ applied: false, data: 1 })
 })
 
-test('a store that is slower than the time-out is unsure, one that is not there is certain', async () => {
+test('a call that times out is unsure, and a refused connection is not-applied', async () => {
   inner.faults.slowMs = 2000
   expect(await failureOf(store.create('k', 'v'))).toBe('unsure')
   await served.close()
--- a/store/object_store.ts
+++ b/store/object_store.ts
@@ -1,40 +1,40 @@
-/** The platform's object API as the daemons use it: versions, conditional updates, long-polled changes. */
+/** The part of the platform's object API that the daemons use: versions, conditional updates and long-polled changes. */
 
-/** One object. */
+/** An object in the store. */
 export interface StoredObject {
   key: string
-  /** Grows with every change anywhere in the store; 0 is before the first. */
+  /** Increases with every change anywhere in the store; 0 is the version before the first change. */
   version: number
   value: string
-  /** What the system wrote beside an object that somebody else wrote. Default: nothing. */
+  /** Status that the system wrote for an object of another writer. Default: none. */
   status?: string
 }
 
-/** Changes after a version, and the version up to which they were looked at. */
+/** Changes after a version, and the version up to which they are complete. */
 export interface Changes {
   objects: StoredObject[]
   /** Keys of objects that were removed. */
   removed: string[]
   version: number
-  /** True where whoever told them checks its own copy by listings, so that the asker need not. Default false. */
+  /** True if the sender verifies its own copy by listings, so that the receiver need not. Default false. */
   checked?: boolean
 }
 
-/** Objects as they are, and a version from which changes can be watched without missing one. */
+/** Current objects, and a version from which changes can be watched without missing any. */
 export interface Snapshot { objects: StoredObject[], version: number }
 
-/** Where a copy of some objects comes from, and what changes in them. Both methods can throw {@linkcode StoreError}. */
+/** Source of a copy of some objects and of their changes. Both methods can throw {@linkcode StoreError}. */
 export interface ObjectSource {
-  /** Lists all objects of a prefix, and tells from which version to watch on. */
+  /** Lists all objects with a key prefix and returns the version from which to watch. */
   snapshot (prefix: string): Promise<Snapshot>
-  /** Waits up to `waitMs` for changes after a version; `history-gone` when they are no longer known. */
+  /** Waits up to `waitMs` for changes after a version. Fails with `history-gone` if they are no longer known. */
   changes (prefix: string, options: { after: number, waitMs: number }): Promise<Changes>
 }
 
-/** Storage that lasts when daemons do not. Every method can throw {@linkcode StoreError}. */
+/** Storage that survives the loss of daemons. Every method can throw {@linkcode StoreError}. */
 export interface ObjectStore extends ObjectSource {
   get (key: string): Promise<StoredObject | undefined>
-  /** Lists objects in key order, from after `after`, up to `limit` (1,000 when not given). */
+  /** Lists up to `limit` objects (default 1,000) in key order, starting after the key `after`. */
   list (prefix: string, options?: { after?: string, limit?: number }): Promise<StoredObject[]>
   /** Creates an object only if it is absent; returns its version. */
   create (key: string, value: string): Promise<number>
@@ -44,12 +44,12 @@
   remove (key: string, version: number): Promise<void>
 }
 
-/** What is certain about a call that failed. */
+/** Kind of failure of a store call; see {@linkcode StoreError}. */
 export type StoreFailure = 'conflict' | 'not-applied' | 'unsure' | 'history-gone'
 
 /**
- * A call to the store failed. `conflict`: another version is there; `not-applied`: refused; `unsure`: it may have been applied;
- * `history-gone`: the changes after the version asked for are forgotten.
+ * Error of a failed store call. `conflict`: the object has another version; `not-applied`: the store refused the call; `unsure`: the call may
+ * have been applied; `history-gone`: the changes after the requested version are no longer available.
  */
 export class StoreError extends Error {
   override name = 'StoreError'
@@ -61,7 +61,7 @@
   }
 }
 
-/** True for a {@linkcode StoreError} with the given certainty. */
+/** Returns true for a {@linkcode StoreError} with the given failure. */
 export function isStoreFailure (err: unknown, failure: StoreFailure): boolean {
   return err instanceof StoreError && err.failure === failure
 }
--- a/store/store_follower.ts
+++ b/store/store_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps a copy of all objects of one prefix, from a listing and the changes behind it. */
+/** Maintains a copy of all objects with one key prefix, from a listing and the changes after it. */
 import { delay, steadyNow } from '../core/time/index.ts'
 import { isStoreFailure, StoreError, type ObjectSource, type StoredObject } from './object_store.ts'
 
@@ -6,44 +6,45 @@
 export interface StoreFollowerOptions {
   store: ObjectSource
   prefix: string
-  /** Called with the whole copy after each change, and after each listing. */
-  onChange (objects: ReadonlyMap<string, StoredObject>, news: FollowerNews): void
-  /** Called when the store stops answering, and when it answers again. */
+  /** Called with the complete copy after each change and each listing. */
+  onChange (objects: ReadonlyMap<string, StoredObject>, news: FollowerUpdate): void
+  /** Called when the store becomes unreachable and when it answers again. */
   onReach? (reached: boolean, why: string): void
-  /** Longest wait in milliseconds, of every watch or of the next one. Default 10,000. */
+  /** Maximum wait of a watch in milliseconds; a function is called before each watch. Default 10,000. */
   waitMs?: number | (() => number)
   /**
-   * Milliseconds to pause before listing again in place of watching; 0 to watch. Each waiting watch counts as a call, so that of many
-   * daemons few should watch. Default: always 0.
+   * Returns the milliseconds to pause before listing again instead of watching; 0 to watch. Each waiting watch counts as a call, so only a
+   * few of many daemons should watch. Default: always 0.
    */
   pauseMs? (): number
   /** Seeded random source in [0, 1) for jitter. */
   random: () => number
 }
 
-/** How the copy came to be as it is. */
-export interface FollowerNews {
-  /** True after a listing, which may lack objects that the copy had. */
+/** Describes the update that led to the current copy. */
+export interface FollowerUpdate {
+  /** True after a listing, which may lack objects that were in the copy before. */
   listed: boolean
   removed: readonly string[]
-  /** Version of the store that the copy is of: whatever is written later has a higher one. */
+  /** Store version of the copy; later writes have a higher version. */
   version: number
 }
 
 const DEFAULT_WAIT_MS = 10_000
-/** A copy in which nothing changes is checked by a listing this often, in milliseconds, or after so many watches. */
-const CHECK_EVERY_MS = 10_000
-const EMPTY_UNCHECKED = 5
-/** A watch may end so much before its time, in milliseconds: clocks differ. */
-const EARLY_MS = 50
-const FIRST_RETRY_MS = 100
-const LONGEST_RETRY_MS = 1000
+/** A copy without changes is verified by a listing after this many milliseconds or this many watches, whichever is less. */
+const CHECK_INTERVAL_MS = 10_000
+const MAX_UNCHECKED_WATCHES = 5
+/** Milliseconds by which a watch may end early without counting as cut short, because clocks differ. */
+const EARLY_END_TOLERANCE_MS = 50
+const INITIAL_RETRY_DELAY_MS = 100
+const MAX_RETRY_DELAY_MS = 1000
 
 /**
  * Follows the store until it is stopped.
  *
- * A call that fails tells nothing of what changed meanwhile: the follower lists anew. Until then the copy stays as it was; a store that is down takes nothing
- * away. To watch on instead would leave the store for lost until something changes, however long it has answered again, and that change for one of its outage.
+ * After a failed call, the follower lists the objects again, because changes may have been missed. Until then the copy stays unchanged: an
+ * outage of the store removes nothing. Resuming the watch instead would report the store as unreachable until the next change, however long
+ * it had been answering again, and would treat that change as one made during the outage.
  */
 export class StoreFollower {
   readonly #options: StoreFollowerOptions
@@ -53,25 +54,25 @@
   #reached = true
   #failures = 0
   #listedAtMs = -Infinity
-  /** When the store last answered, on the steady clock. */
+  /** Time of the store's last answer, on the monotonic clock. */
   confirmedAtMs = -Infinity
 
   constructor (options: StoreFollowerOptions) {
     this.#options = options
   }
 
-  /** True once the objects were listed. */
+  /** True once the store has answered for the first time. */
   get listed (): boolean { return this.confirmedAtMs > -Infinity }
 
-  /** False from the first call that failed until the answer behind it was taken. */
+  /** False from the first failed call until the next answer was applied. */
   get reached (): boolean { return this.#reached }
 
-  /** Begins to follow. */
+  /** Starts following. */
   start (): void {
     this.#follow()
   }
 
-  /** Stops following; a watch that waits ends by itself. */
+  /** Stops following. A pending watch is not cancelled; its result is ignored. */
   stop (): void {
     this.#stopped = true
   }
@@ -81,12 +82,12 @@
       try {
         const pauseMs = this.#options.pauseMs?.() ?? 0
         await (this.#version === undefined || pauseMs > 0 ? this.#list() : this.#watch(this.#version))
-        this.#answered()
+        this.#recordSuccess()
         if (pauseMs > 0) await delay(pauseMs)
       } catch (err) {
         if (!(err instanceof StoreError)) throw err
         if (isStoreFailure(err, 'history-gone')) this.#version = undefined
-        else await this.#failed(err)
+        else await this.#handleFailure(err)
       }
     }
   }
@@ -97,7 +98,7 @@
     const listed = new Set(objects.map((object) => object.key))
     const removed = [...this.#objects.keys()].filter((key) => !listed.has(key))
     for (const key of removed) this.#objects.delete(key)
-    for (const object of objects) this.#take(object)
+    for (const object of objects) this.#applyObject(object)
     this.#version = version
     this.#listedAtMs = steadyNow()
     this.#options.onChange(this.#objects, { listed: true, removed, version })
@@ -109,25 +110,28 @@
     const sentAtMs = steadyNow()
     const { objects, removed, version, checked } = await this.#options.store.changes(this.#options.prefix, { after, waitMs })
     if (this.#stopped) return
-    // An event that the store replays is older than the copy, and would undo what came after it.
+    // Events replayed by the store are older than the copy and must not undo later changes.
     this.#version = Math.max(after, version)
     for (const key of removed) this.#objects.delete(key)
-    for (const object of objects) this.#take(object)
+    for (const object of objects) this.#applyObject(object)
     if (objects.length + removed.length > 0) this.#options.onChange(this.#objects, { listed: false, removed, version: this.#version })
-    else if (checked !== true && this.#mayHaveLost(steadyNow() - sentAtMs, waitMs)) this.#version = undefined
+    else if (checked !== true && this.#mayHaveMissedChanges(steadyNow() - sentAtMs, waitMs)) this.#version = undefined
   }
 
-  /** A change that a watch lost would be missed for ever: an empty answer that comes early is checked by a listing, and others now and then. */
-  #mayHaveLost (tookMs: number, waitMs: number): boolean {
-    return tookMs < waitMs - EARLY_MS || steadyNow() - this.#listedAtMs >= Math.min(CHECK_EVERY_MS, waitMs * EMPTY_UNCHECKED)
+  /**
+   * Returns true if a listing should verify an empty answer, because a change that the watch lost would otherwise be missed for ever: always
+   * for an answer that came early, periodically for others.
+   */
+  #mayHaveMissedChanges (tookMs: number, waitMs: number): boolean {
+    return tookMs < waitMs - EARLY_END_TOLERANCE_MS || steadyNow() - this.#listedAtMs >= Math.min(CHECK_INTERVAL_MS, waitMs * MAX_UNCHECKED_WATCHES)
   }
 
-  #take (object: StoredObject): void {
+  #applyObject (object: StoredObject): void {
     const known = this.#objects.get(object.key)
     if (!known || object.version > known.version) this.#objects.set(object.key, object)
   }
 
-  #answered (): void {
+  #recordSuccess (): void {
     this.confirmedAtMs = steadyNow()
     this.#failures = 0
     if (this.#reached) return
@@ -135,11 +139,11 @@
     this.#options.onReach?.(true, 'answers again')
   }
 
-  async #failed (err: StoreError): Promise<void> {
+  async #handleFailure (err: StoreError): Promise<void> {
     if (this.#reached) this.#options.onReach?.(false, err.message)
     this.#reached = false
     this.#version = undefined
-    const longest = Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** this.#failures++)
-    await delay(longest * (0.5 + this.#options.random() / 2))
+    const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** this.#failures++)
+    await delay(maxDelayMs * (0.5 + this.#options.random() / 2))
   }
 }
--- a/store/sure_write.ts
+++ b/store/sure_write.ts
@@ -1,31 +1,31 @@
-/** Writes whose answer may be lost, made certain by reading back. */
+/** Conditional writes that are verified by reading back if their answer is lost. */
 import { isStoreFailure, StoreError, type ObjectStore, type StoredObject } from './object_store.ts'
 
-/** A value marked with the write that put it there. */
+/** A value tagged with the id of the write that stored it. */
 export interface Marked<T> { writeId: string, data: T }
 
-/** What became of a conditional write. */
+/** Result of a conditional write. */
 export type WriteResult<T> =
   | { applied: true, version: number }
   | { applied: false, found: StoredObject | undefined, data: T | undefined }
 
-/** Options of {@linkcode writeSurely}. */
-export interface WriteSurelyOptions<T> {
-  /** Unique to this write. */
+/** Options of {@linkcode writeAndVerify}. */
+export interface WriteAndVerifyOptions<T> {
+  /** Unique id of this write. */
   writeId: string
   data: T
-  /** Version the write replaces; 0 to create. */
+  /** Version that the write replaces; 0 to create the object. */
   version: number
 }
 
 /**
- * Makes one conditional write and finds out whether it was applied.
+ * Makes one conditional write and determines whether it was applied.
  *
- * Guards against an answer lost after the change was applied: repeating the write then shows a conflict with the writer's own change,
- * which would be reported as somebody else's. The write id in the value tells the two apart.
- * @throws {StoreError} `unsure` when the store also cannot be read back; `not-applied` when it refused the write.
+ * Handles an answer that is lost after the write was applied: a retry then conflicts with the writer's own change, which would be reported as
+ * another writer's. The write id in the value distinguishes the two.
+ * @throws {StoreError} `unsure` if the value cannot be read back either; `not-applied` if the store refused the write.
  */
-export async function writeSurely<T> (store: ObjectStore, key: string, options: WriteSurelyOptions<T>): Promise<WriteResult<T>> {
+export async function writeSurely<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
   const value = JSON.stringify({ writeId: options.writeId, data: options.data } satisfies Marked<T>)
   try {
     const version = options.version === 0 ? await store.create(key, value) : await store.update(key, value, options.version)
@@ -37,15 +37,15 @@
   }
 }
 
-async function readBack<T> (store: ObjectStore, key: string, options: WriteSurelyOptions<T>): Promise<WriteResult<T>> {
-  const found = await readOrUnsure(store, key)
+async function readBack<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
+  const found = await readForVerification(store, key)
   if (!found) return { applied: false, found: undefined, data: undefined }
   const marked = JSON.parse(found.value) as Marked<T>
   if (marked.writeId === options.writeId) return { applied: true, version: found.version }
   return { applied: false, found, data: marked.data }
 }
 
-async function readOrUnsure (store: ObjectStore, key: string): Promise<StoredObject | undefined> {
+async function readForVerification (store: ObjectStore, key: string): Promise<StoredObject | undefined> {
   try {
     return await store.get(key)
   } catch (err) {
