--- a/cli/_early_hangup.ts
+++ b/cli/_early_hangup.ts
@@ -1,9 +1,9 @@
-/** Keeps a SIGHUP from ending a process that does not listen for it yet; imported before all else. */
+/** Prevents a SIGHUP from terminating the process before its own handler is installed. Must be imported first. */
 
-let came = false
-process.on('SIGHUP', () => { came = true })
+let received = false
+process.on('SIGHUP', () => { received = true })
 
-/** True when a SIGHUP came since the process began to load. */
-export function hangupCame (): boolean {
-  return came
+/** Returns true if a SIGHUP was received since this module was loaded. */
+export function hangupReceived (): boolean {
+  return received
 }
--- a/cli/main.ts
+++ b/cli/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-/** The command line. */
-import { hangupCame } from './_early_hangup.ts'
+/** Entry point of the command line. */
+import { hangupReceived } from './_early_hangup.ts'
 import cac from 'cac'
 import { InvalidError } from '../core/config/validate.ts'
 import { flushLog, startLog } from '../daemon/log/index.ts'
@@ -18,8 +18,8 @@
   .action(async (options: { settings?: string }) => {
     const path = options.settings ?? process.env.VERBENATILLER_SETTINGS
     if (!path) throw new InvalidError('command line', ['--settings: expected a file, found nothing'])
-    const { isForPlatform } = await import('./settings_kind.ts')
-    if (isForPlatform(path)) await servePlatformDaemon(path)
+    const { isPlatformSettings } = await import('./settings_kind.ts')
+    if (isPlatformSettings(path)) await servePlatformDaemon(path)
     else await serveDaemon(path)
   })
 
@@ -30,7 +30,7 @@
   const serving = servePlatform(settings)
   startLog({ daemon: settings.name, after: serving })
   const daemon = await serving
-  watchSettings(path, { reread: () => daemon.reconfigure(proxySettings(loadPlatformSettings(path))), atOnce: hangupCame() })
+  watchSettings(path, { reload: () => daemon.reconfigure(proxySettings(loadPlatformSettings(path))), reloadOnStart: hangupReceived() })
   await drainOnSignal(daemon)
 }
 
@@ -52,7 +52,7 @@
   process.exit(0)
 }
 
-cli.command('demo', 'Run both deployments in small against the stand-in platform')
+cli.command('demo', 'Run small versions of both deployments against the stand-in platform')
   .option('--seed <number>', 'Seed of all random choices', { default: 1 })
   .option('--requests <number>', 'Requests for each deployment', { default: 200 })
   .action(async (options: { seed: number, requests: number }) => {
@@ -63,7 +63,7 @@
     process.exit(broken === 0 ? 0 : EXIT_FAILED)
   })
 
-cli.command('platform', 'Run the stand-in platform of a deployment on the ports of the example settings, to try daemons against')
+cli.command('platform', 'Run the stand-in platform of a deployment on the ports of the example settings, for use with local daemons')
   .option('--deployment <name>', 'adunni-levy or kingston-parish', { default: 'adunni-levy' })
   .action(async (options: { deployment: string }) => {
     const { adunniLevy, kingstonParish } = await import('../demo/deployments.ts')
@@ -72,10 +72,10 @@
     print(JSON.stringify({ objectApi: served.objectApi.url, cloudApi: served.cloudApi.url, hosts: served.cloud.live().length }))
   })
 
-cli.command('bench [name]', 'Measure one part; ends with one line of JSON')
-  .option('--list', 'List the benches')
+cli.command('bench [name]', 'Run one benchmark; the last line of output is JSON')
+  .option('--list', 'List the benchmarks')
   .option('--seed <number>', 'Seed of all random choices', { default: 1 })
-  .option('--count <number>', 'Size of the run, where the bench has one')
+  .option('--count <number>', 'Size of the run, if the benchmark has one')
   .action(async (name: string | undefined, options: { list?: boolean, seed: number, count?: number }) => {
     const { BENCHES } = await import('../bench/index.ts')
     if (options.list) return BENCHES.forEach((bench) => print(`${bench.name.padEnd(14)}${bench.about}`))
@@ -86,10 +86,10 @@
     process.exit(0)
   })
 
-cli.command('soak', 'Run daemons as processes, disturb them from outside, and hold every answer against what is promised; ends with one line of JSON')
+cli.command('soak', 'Run daemons as processes, inject faults and check every answer against the guarantees; the last line of output is JSON')
   .option('--seed <number>', 'Seed of all random choices', { default: 1 })
-  .option('--minutes <number>', 'Minutes of faults', { default: 1 })
-  .option('--daemons <number>', 'Daemons', { default: 4 })
+  .option('--minutes <number>', 'Minutes during which faults are injected', { default: 1 })
+  .option('--daemons <number>', 'Number of daemons', { default: 4 })
   .action(async (options: { seed: number, minutes: number, daemons: number }) => {
     const { runSoak } = await import('../platform/soak/index.ts')
     const report = await runSoak({ ...options, print })
@@ -97,15 +97,15 @@
     process.exit(report.broken.length === 0 ? 0 : EXIT_FAILED)
   })
 
-cli.command('explain <request> [...files]', 'The story of one request from daemons\' logs, and its likely cause; reads standard input without files')
-  .option('--json', 'Write the story as JSON')
+cli.command('explain <request> [...files]', 'Show the steps of one request from daemons\' logs, and the likely cause of its outcome; reads standard input if no files are given')
+  .option('--json', 'Print JSON')
   .action(async (request: string, files: string[], options: { json?: boolean }) => {
     const { runExplain } = await import('./explain.ts')
     const found = await runExplain(request, { files, json: options.json, print })
     if (!found) process.exitCode = EXIT_FAILED
   })
 
-cli.command('compile-ahead', 'Run a daemon on the platform, or only load what one needs without settings; when it ends, the build keeps its compiled code')
+cli.command('compile-ahead', 'Run a platform daemon, or only load its code if no settings are given; the launcher writes the compiled code to the code cache on exit')
   .option('--settings <file>', 'Settings of the daemon; it serves until SIGTERM')
   .action(async (options: { settings?: string }) => {
     if (options.settings) await servePlatformDaemon(options.settings)
@@ -133,5 +133,5 @@
   }
 }
 
-/** Settles when the command has returned; that of a daemon returns when the daemon has left. */
-export const loaded = main()
+/** Resolves when the command has returned. `serve` returns when the daemon has left. */
+export const finished = main()
--- a/cli/operator_client.ts
+++ b/cli/operator_client.ts
@@ -1,14 +1,14 @@
-/** Calls to a running daemon's operators' interface. */
+/** Client of the operators' interface of a running daemon. */
 import { request } from 'undici'
 
-/** Where and as whom to call. */
+/** Address and credential for calls to a daemon. */
 export interface OperatorTarget {
   /** Address of the operators' interface, such as `http://10.0.0.1:8081`. */
   daemon: string
   credential: string | undefined
 }
 
-/** The daemon refused the call; `body` is its problem document. */
+/** Error of a call that the daemon refused; `body` is its problem document. */
 export class OperatorCallError extends Error {
   override name = 'OperatorCallError'
   readonly status: number
@@ -22,8 +22,8 @@
 }
 
 /**
- * Calls a daemon.
- * @throws {OperatorCallError} When it refuses.
+ * Calls a daemon and returns the body of its response.
+ * @throws {OperatorCallError} If the daemon refuses the call.
  */
 export async function operatorCall (target: OperatorTarget, method: 'GET' | 'PUT' | 'POST', path: string, options: { body?: unknown, headers?: Record<string, string> } = {}): Promise<unknown> {
   const res = await request(target.daemon + path, {
--- a/cli/serve_test.ts
+++ b/cli/serve_test.ts
@@ -14,8 +14,8 @@
   rig = undefined
 })
 
-/** The command line's daemon as a process of its own, on a platform with one endpoint. */
-async function serve () {
+/** Starts a daemon by the command line in a separate process, on a platform with one endpoint. */
+async function startDaemon () {
   rig = await Rig.start({ daemons: 0 })
   await rig.endpoint('desk', (req) => answerWith(req, 200, 'served'))
   const [callers, readiness, peers, monitor] = await freePorts(4)
@@ -43,9 +43,9 @@
   return { write, status, exited, events: () => output.split('\n').filter((line) => line.startsWith('{')).map((line) => JSON.parse(line) as Record<string, unknown>) }
 }
 
-test('a daemon rereads its settings on SIGHUP and when they change, keeps the old ones where they are wrong, and drains on SIGTERM', async () => {
-  // Each reload of the settings costs callers their answers: SIGHUP ends a process that does not listen for it.
-  const { write, status, exited, events } = await serve()
+test('a daemon reloads its settings on SIGHUP and when they change, keeps the old ones if they are invalid, and drains on SIGTERM', async () => {
+  // Guards against lost answers when settings are reloaded: SIGHUP terminates a process without a handler for it.
+  const { write, status, exited, events } = await startDaemon()
   const seen = (event: string) => events().filter((line) => line.event === event)
   child!.kill('SIGHUP')
   await until(() => seen('settings-read').length === 1)
--- a/cli/settings_watch.ts
+++ b/cli/settings_watch.ts
@@ -1,30 +1,33 @@
-/** Reads a settings file again when it changes or the operator says so. */
+/** Reloads a settings file when it changes or on SIGHUP. */
 import { watchFile } from 'node:fs'
 import { InvalidError } from '../core/config/validate.ts'
 import { log } from '../daemon/log/index.ts'
 
-/** Between two looks at the file, in milliseconds; file systems of some hosts tell of no change. */
-const LOOK_MS = 1000
+/** Interval in milliseconds at which the file is polled, because the file systems of some hosts do not report changes. */
+const POLL_INTERVAL_MS = 1000
 
 /** Options of {@linkcode watchSettings}. */
 export interface WatchSettingsOptions {
-  /** Puts the file's settings in force; tells what changed, and what of it only a restart puts in force. */
-  reread (): { changed: string[], needRestart: string[] }
-  /** They may have changed since they were read. Default false. */
-  atOnce?: boolean
+  /** Reads and applies the settings. Returns the changed fields and those that take effect only after a restart. */
+  reload (): { changed: string[], needRestart: string[] }
+  /** True to reload immediately, because the file may have changed since it was read. Default false. */
+  reloadOnStart?: boolean
 }
 
-/** Rereads on SIGHUP, which would end the process otherwise, and when the file's time changes. Settings that are wrong change nothing. */
-export function watchSettings (path: string, { reread, atOnce = false }: WatchSettingsOptions): void {
-  const read = () => {
+/**
+ * Reloads the settings on SIGHUP, which would otherwise terminate the process, and when the file's modification time changes. Invalid settings
+ * are logged and change nothing.
+ */
+export function watchSettings (path: string, { reload, reloadOnStart = false }: WatchSettingsOptions): void {
+  const reloadAndLog = () => {
     try {
-      log('settings-read', reread())
+      log('settings-read', reload())
     } catch (err) {
       if (!(err instanceof InvalidError)) throw err
       log('settings-refused', { problems: err.problems })
     }
   }
-  process.on('SIGHUP', read)
-  if (atOnce) read()
-  watchFile(path, { interval: LOOK_MS, persistent: false }, read)
+  process.on('SIGHUP', reloadAndLog)
+  if (reloadOnStart) reloadAndLog()
+  watchFile(path, { interval: POLL_INTERVAL_MS, persistent: false }, reloadAndLog)
 }
