--- a/scripts/bundle_test.ts
+++ b/scripts/bundle_test.ts
@@ -1,5 +1,6 @@
-// Callers wait for a daemon that restarts: it compiles anew whatever its first requests need, and on a host with an eighth of a core the first answer
-// after the loss of all hosts comes 2.6 s after power is back. The code that a daemon ran while the build let it serve is compiled already, if it is accepted.
+// Guards against slow restarts, during which callers wait: without an accepted code cache, a daemon recompiles all code that its first requests
+// need, and on a host with an eighth of a core the first answer after the loss of all hosts comes 2.6 s after power is restored. The code cache
+// contains the code that a daemon ran while it served requests during the build.
 import { spawn, spawnSync } from 'node:child_process'
 import { once } from 'node:events'
 import { mkdirSync, mkdtempSync, rmSync, statSync, writeFileSync } from 'node:fs'
@@ -9,23 +10,23 @@
 import { delay } from '../core/time/index.ts'
 import { freePorts } from '../platform/standins/free_ports.ts'
 
-/** A cache of what loading alone compiles has 1.1 MB, one of a daemon that served 1.7 MB. */
-const SERVED_BYTES = 1_400_000
+/** Lower bound for the code cache of a daemon that served requests, 1.7 MB. That of a daemon that was only loaded has 1.1 MB. */
+const MIN_CACHE_BYTES = 1_400_000
 
-test('a build lets its daemon serve, and keeps compiled code that the next start accepts', () => {
+test('a build warms up its daemon and creates a code cache that the next start accepts', () => {
   mkdirSync('target', { recursive: true })
-  // What an earlier build of other code left there.
+  // Left by an earlier build of other code.
   writeFileSync('target/bundle.cache', 'compiled code of another build')
   const built = spawnSync(process.execPath, ['scripts/bundle.mjs'], { encoding: 'utf8' })
   expect([built.status, built.stderr]).toEqual([0, ''])
-  expect(statSync('target/bundle.cache').size).toBeGreaterThan(SERVED_BYTES)
+  expect(statSync('target/bundle.cache').size).toBeGreaterThan(MIN_CACHE_BYTES)
   const run = spawnSync(process.execPath, ['target/verbenatiller.cjs', '--help'], { encoding: 'utf8' })
   expect(run.stdout).toContain('serve')
   expect([run.status, run.stderr]).toEqual([0, ''])
 })
 
-test('a SIGHUP while a daemon starts does not end it', async () => {
-  // Guards against settings that change just as a daemon is started again.
+test('a SIGHUP during startup does not terminate a daemon', async () => {
+  // Guards against a settings change while a daemon restarts.
   const folder = mkdtempSync(join(tmpdir(), 'early-hangup-'))
   const [callers, readiness, peers] = await freePorts(3)
   const at = (port: number | undefined) => `127.0.0.1:${port}`
@@ -47,17 +48,18 @@
   rmSync(folder, { recursive: true })
 })
 
-function childrenOf (pid: number): string[] {
+function childPids (pid: number): string[] {
   return spawnSync('ps', ['-o', 'pid=', '--ppid', String(pid)], { encoding: 'utf8' }).stdout.split('\n').map((line) => line.trim()).filter((line) => line !== '')
 }
 
-test('a warm-up that is ended leaves no daemon behind', async () => {
-  // A build ran out of time, and the daemon that it had started served on for the rest of the day: 24 minutes of a machine's processor when it was found.
+test('a terminated warm-up leaves no daemon running', async () => {
+  // Guards against an orphaned daemon: after a build timed out, the daemon that it had started kept running and had used 24 minutes of
+  // processor time when it was found.
   const warming = spawn(process.execPath, ['--import', 'tsx', 'platform/standins/warm_up.ts'], { stdio: 'ignore' })
   let daemons: string[] = []
   while (daemons.length === 0 && warming.exitCode === null) {
     await delay(50)
-    daemons = childrenOf(warming.pid!).filter((pid) => spawnSync('ps', ['-o', 'args=', '-p', pid], { encoding: 'utf8' }).stdout.includes('compile-ahead'))
+    daemons = childPids(warming.pid!).filter((pid) => spawnSync('ps', ['-o', 'args=', '-p', pid], { encoding: 'utf8' }).stdout.includes('compile-ahead'))
   }
   warming.kill('SIGTERM')
   await once(warming, 'exit')
--- a/scripts/installed.mjs
+++ b/scripts/installed.mjs
@@ -1,11 +1,11 @@
-// Exits 0 when node_modules was installed from the lock file as it stands; `--stamp` records that it was.
+// Exits with status 0 if node_modules was installed from the current lock file; `--stamp` records that it was.
 import { createHash } from 'node:crypto'
 import { readFileSync, writeFileSync } from 'node:fs'
 
 const STAMP = 'node_modules/.installed_from'
-const wanted = createHash('sha256').update(readFileSync('package-lock.json')).digest('hex')
+const lockFileHash = createHash('sha256').update(readFileSync('package-lock.json')).digest('hex')
 
-function installed () {
+function readStamp () {
   try {
     return readFileSync(STAMP, 'utf8')
   } catch {
@@ -13,5 +13,5 @@
   }
 }
 
-if (process.argv.includes('--stamp')) writeFileSync(STAMP, wanted)
-else process.exitCode = installed() === wanted ? 0 : 1
+if (process.argv.includes('--stamp')) writeFileSync(STAMP, lockFileHash)
+else process.exitCode = readStamp() === lockFileHash ? 0 : 1
--- a/scripts/known_red.d.mts
+++ b/scripts/known_red.d.mts
@@ -1,4 +1,4 @@
-/** Lines of the list of tests that are known to fail; none where there is no list. */
+/** Reads the list of known failing tests and returns its lines; empty if the file does not exist. */
 export function knownRed (path: string): string[]
-/** A pattern of test names that leaves out just those. */
+/** Returns a pattern that matches all test names except those in the given lines. */
 export function allBut (lines: readonly string[]): RegExp
--- a/scripts/known_red.mjs
+++ b/scripts/known_red.mjs
@@ -1,18 +1,18 @@
-// Reads which tests are known to fail: one line each, `FILE > TEST | cause | command and seed | what was seen | issue`.
+// Reads the list of known failing tests. Each line has the form `FILE > TEST | cause | command and seed | what was seen | issue`.
 import { readFileSync } from 'node:fs'
 
-/** More would hide what is broken. */
-const MOST = 3
+/** Maximum number of entries; a longer list would hide real problems. */
+const MAX_ENTRIES = 3
 
-/** Lines of the list; none where there is no list. */
+/** Reads the list of known failing tests and returns its lines; empty if the file does not exist. */
 export function knownRed (path) {
   const lines = read(path).split('\n').filter((line) => line.trim() !== '')
-  if (lines.length > MOST) throw new Error(`Cannot pass over ${lines.length} tests: at most ${MOST} may be known to fail`)
+  if (lines.length > MAX_ENTRIES) throw new Error(`Cannot skip ${lines.length} tests: at most ${MAX_ENTRIES} may be listed as known failures`)
   for (const line of lines) if (!/^\S+_test\.ts > [^|]+\|/.test(line)) throw new Error(`Cannot read known failure: expected "FILE > TEST | cause | ...", got ${JSON.stringify(line)}`)
   return lines
 }
 
-/** A pattern of test names that leaves out just those. */
+/** Returns a pattern that matches all test names except those in the given lines. */
 export function allBut (lines) {
   const names = lines.map((line) => line.slice(line.indexOf(' > ') + 3, line.indexOf('|')).trim().replace(/[.*+?^${}()|[\]\\]/g, '\\$&'))
   return new RegExp(`^(?!(?:${names.join('|')})$)`)
--- a/scripts/launcher.cjs
+++ b/scripts/launcher.cjs
@@ -1,17 +1,17 @@
-// Runs the bundle beside this file with its compiled code; `compile-ahead` writes that code when it ends.
+// Runs the bundle in this directory with its code cache. With `compile-ahead`, writes the code cache on exit.
 const { readFileSync, writeFileSync } = require('node:fs')
 const { Module } = require('node:module')
 const path = require('node:path')
 const v8 = require('node:v8')
 const vm = require('node:vm')
 
-// Until the daemon listens for it, a SIGHUP would end the process.
+// Without a handler, a SIGHUP would terminate the process before the daemon installs its own.
 process.on('SIGHUP', () => {})
 
 const file = path.join(__dirname, 'bundle.cjs')
 const cacheFile = path.join(__dirname, 'bundle.cache')
 
-function compiledCode () {
+function readCodeCache () {
   try {
     return readFileSync(cacheFile)
   } catch {
@@ -22,19 +22,19 @@
 const source = readFileSync(file, 'utf8').replace(/^#!.*/, '')
 const script = new vm.Script(Module.wrap(source), {
   filename: file,
-  cachedData: compiledCode(),
+  cachedData: readCodeCache(),
   importModuleDynamically: vm.constants?.USE_MAIN_CONTEXT_DEFAULT_LOADER
 })
-// Callers wait twice as long for a daemon that restarts without it, and nothing else would tell why.
+// Reported because without the cache, callers wait twice as long for a restarted daemon, with no other sign of the cause.
 if (script.cachedDataRejected) process.stderr.write('compiled code refused: it was made by another version or under other flags of Node.js\n')
 
-const ahead = process.argv[2] === 'compile-ahead'
-// What ran once stays compiled until the cache is written.
-if (ahead) v8.setFlagsFromString('--no-flush-bytecode')
+const compileAhead = process.argv[2] === 'compile-ahead'
+// Keeps all functions that ran compiled until the cache is written.
+if (compileAhead) v8.setFlagsFromString('--no-flush-bytecode')
 script.runInThisContext()(exports, require, module, file, __dirname)
 
-// At the very end, so that all code which ran is in it. A cache made under other flags would be refused.
-if (ahead) {
+// The cache is created on exit so that it includes all code that ran. The flag is reset first because V8 rejects a cache created with other flags.
+if (compileAhead) {
   process.on('exit', (status) => {
     v8.setFlagsFromString('--flush-bytecode')
     if (status === 0) writeFileSync(cacheFile, script.createCachedData())
--- a/scripts/pages.ts
+++ b/scripts/pages.ts
@@ -1,4 +1,4 @@
-// Writes docs/CAPACITY.md and docs/MEASUREMENTS.md from the benches' last lines in docs/figures.
+// Generates docs/CAPACITY.md and docs/MEASUREMENTS.md from the benchmark results in docs/figures, each the last line of a benchmark's output.
 // Usage: node --import tsx scripts/pages.ts
 import { readFileSync, statSync, writeFileSync } from 'node:fs'
 
@@ -9,61 +9,61 @@
 const DAY_S = 86_400
 const DATE = '2026-12-02'
 
-const read = (name: string) => JSON.parse(readFileSync(new URL(`../docs/figures/${name}.json`, import.meta.url), 'utf8')) as Row
-const fixed = (value: number, digits = 1) => value.toLocaleString('en-GB', { maximumFractionDigits: digits })
+const readFigures = (name: string) => JSON.parse(readFileSync(new URL(`../docs/figures/${name}.json`, import.meta.url), 'utf8')) as Row
+const formatNumber = (value: number, digits = 1) => value.toLocaleString('en-GB', { maximumFractionDigits: digits })
 
-const membership = read('membership').rows as Array<Record<string, number>>
-const change = read('membership_change').rows as Array<Record<string, number>>
-const overhead = read('overhead') as Record<string, Record<string, number>>
-const once = read('once').rows as Array<Record<string, number>>
-const route = read('route') as { times: Array<Record<string, number>>, usPerEndpoint: number, subsets: Row }
-const reclaim = read('reclaim') as { waves: Row[], planning: Record<string, number>, uncoordinated: Row, optimum: Row }
-const store = read('store').rows as Row[]
-const sweep = read('sweep') as unknown as Sweep
+const membership = readFigures('membership').rows as Array<Record<string, number>>
+const configChangeRows = readFigures('membership_change').rows as Array<Record<string, number>>
+const overhead = readFigures('overhead') as Record<string, Record<string, number>>
+const once = readFigures('once').rows as Array<Record<string, number>>
+const route = readFigures('route') as { times: Array<Record<string, number>>, usPerEndpoint: number, subsets: Row }
+const reclaim = readFigures('reclaim') as { waves: Row[], planning: Record<string, number>, uncoordinated: Row, optimum: Row }
+const store = readFigures('store').rows as Row[]
+const sweep = readFigures('sweep') as unknown as Sweep
 
-/** One day played at several sizes, as the users' bench prints it. */
+/** Results of one day replayed at several deployment sizes, as printed by the users' benchmark. */
 interface Sweep {
   commit: string
   days: Row[]
   slopes: Array<{ what: string, mean: number[], busiest: number[], power: number, at415: number, limit: string, mechanism: string }>
 }
 
-/** Value at the size asked for, from the line through the rows of at least 50 nodes. */
+/** Extrapolates a figure to `at` nodes by linear regression over the rows with at least 50 nodes. */
 function extrapolate (rows: ReadonlyArray<Record<string, number>>, figure: string, at: number): { value: number, slope: number } {
   const points = rows.filter((row) => row.nodes! >= 50).map((row) => ({ x: row.nodes!, y: row[figure]! }))
-  const mx = points.reduce((sum, { x }) => sum + x, 0) / points.length
-  const my = points.reduce((sum, { y }) => sum + y, 0) / points.length
-  const slope = points.reduce((sum, { x, y }) => sum + (x - mx) * (y - my), 0) / points.reduce((sum, { x }) => sum + (x - mx) ** 2, 0)
-  return { value: my + slope * (at - mx), slope }
+  const meanX = points.reduce((sum, { x }) => sum + x, 0) / points.length
+  const meanY = points.reduce((sum, { y }) => sum + y, 0) / points.length
+  const slope = points.reduce((sum, { x, y }) => sum + (x - meanX) * (y - meanY), 0) / points.reduce((sum, { x }) => sum + (x - meanX) ** 2, 0)
+  return { value: meanY + slope * (at - meanX), slope }
 }
 
 const perDaemon = { requests: size.requestsPerS / size.daemons, tokens: size.tokensPerS / size.daemons, streams: size.tokensPerS * size.betweenTokensMs / 1000 / size.daemons }
-const wire = extrapolate(membership, 'wireBytesPerS', size.daemons)
-const cpu = extrapolate(membership, 'cpuPercent', size.daemons)
+const wireBytesPerS = extrapolate(membership, 'wireBytesPerS', size.daemons)
+const cpuPercent = extrapolate(membership, 'cpuPercent', size.daemons)
 const factMs = extrapolate(membership, 'factMaxMs', size.daemons)
 const configMs = extrapolate(membership, 'configMaxMs', size.daemons)
-const changeBytes = extrapolate(change, 'configBytesPerNode', size.daemons)
+const changeBytes = extrapolate(configChangeRows, 'configBytesPerNode', size.daemons)
 const memoryKb = Math.max(...membership.filter((row) => row.nodes! >= 50).map((row) => row.memoryKb!))
 const changeBytesPerS = changeBytes.value * size.changesPerDay / DAY_S
-const controlBytes = wire.value + changeBytesPerS
+const controlBytes = wireBytesPerS.value + changeBytesPerS
 const streamShare = overhead.stream!.coreShareAt3000TokensPerS! * perDaemon.tokens / 3000
 const plainShare = overhead.plain!.coreShare! * perDaemon.requests / overhead.plain!.requestsPerS!
 const heapMb = overhead.memory!.heapKbPerStream! * perDaemon.streams / 1024
 const claimsPerS = size.requestsPerS * size.nonIdempotent
-const claims = once.reduce((best, row) => (Math.abs(row.claimsPerS! - claimsPerS) < Math.abs(best.claimsPerS! - claimsPerS) ? row : best))
-const watchers = 2 * size.domains
-const calls = {
-  configReads: (size.daemons - watchers) / 60 + watchers / 25,
-  configWatches: watchers / 25,
+const claimsRow = once.reduce((best, row) => (Math.abs(row.claimsPerS! - claimsPerS) < Math.abs(best.claimsPerS! - claimsPerS) ? row : best))
+const watcherCount = 2 * size.domains
+const storeCallsPerS = {
+  configReads: (size.daemons - watcherCount) / 60 + watcherCount / 25,
+  configWatches: watcherCount / 25,
   members: size.daemons / 300,
   sealing: claimsPerS / 256 * 3,
-  audit: size.changesPerDay * watchers / DAY_S
+  audit: size.changesPerDay * watcherCount / DAY_S
 }
-const writes = claims.writesPerS! + calls.members + calls.sealing + calls.audit
-const reads = calls.configReads + calls.configWatches + claims.readsPerS!
-const crash = membership.map((row) => row.crashKnownMaxMs! / 1000)
+const storeWritesPerS = claimsRow.writesPerS! + storeCallsPerS.members + storeCallsPerS.sealing + storeCallsPerS.audit
+const storeReadsPerS = storeCallsPerS.configReads + storeCallsPerS.configWatches + claimsRow.readsPerS!
+const crashKnownS = membership.map((row) => row.crashKnownMaxMs! / 1000)
 const uncoordinated = reclaim.uncoordinated as Record<string, number>
-const biggest = membership.at(-1)!.nodes!
+const largestNodeCount = membership.at(-1)!.nodes!
 const reclaimPlan = reclaim.planning
 const storeAt420 = store.find((row) => row.daemons === 420 && row.client === 'budgeted')!
 
@@ -72,68 +72,68 @@
 Worked out by \`node --import tsx scripts/pages.ts\` from the benches' figures in docs/figures (run on ${DATE}, one machine of 8 cores, stand-ins on loopback). Do not edit
 by hand. **Measured** figures name their bench; **worked out** ones follow from them and from the size; **assumed** ones are marked.
 
-Size: ${size.daemons} daemons before ${size.servers} servers; ${fixed(size.requestsPerS)} requests and ${fixed(size.tokensPerS)} tokens a second at the peak; ${size.changesPerDay} changes of configuration a day; 2 regions with 4 failure domains each.
-For each daemon: ${fixed(perDaemon.requests)} requests/s, ${fixed(perDaemon.tokens)} tokens/s, ${fixed(perDaemon.streams, 0)} open streams (at ${size.betweenTokensMs} ms between tokens).
+Size: ${size.daemons} daemons before ${size.servers} servers; ${formatNumber(size.requestsPerS)} requests and ${formatNumber(size.tokensPerS)} tokens a second at the peak; ${size.changesPerDay} changes of configuration a day; 2 regions with 4 failure domains each.
+For each daemon: ${formatNumber(perDaemon.requests)} requests/s, ${formatNumber(perDaemon.tokens)} tokens/s, ${formatNumber(perDaemon.streams, 0)} open streams (at ${size.betweenTokensMs} ms between tokens).
 
 ## Control, each daemon (limits: ${limit.cpuPercent}% of a core, ${limit.memoryMb} MB, 2 KB/s)
 
 | what | at ${size.daemons} daemons | slope | from |
 |---|---|---|---|
-| heartbeats and rumours, bytes/s sent, headers included | ${fixed(wire.value, 0)} | ${fixed(wire.slope, 2)} a daemon | \`membership\`, 50 to ${biggest} nodes |
-| changes of configuration, bytes/s on average | ${fixed(changeBytesPerS, 0)} | ${fixed(changeBytes.value / 1000, 0)} kB a change | \`membership --count 100\`, extrapolated |
-| **bytes/s in all** | **${fixed(controlBytes, 0)}** ${controlBytes <= limit.bytesPerS ? 'within the limit' : '**over the limit**'} | | |
-| processor | ${fixed(cpu.value, 3)}% of a core | ${fixed(cpu.slope * 1000, 3)}% a thousand daemons | \`membership\` |
-| memory: links, members, facts | ${fixed(memoryKb / 1024, 2)} MB | largest row taken | \`membership\`, resident set of all nodes over their number |
-| a fact at all daemons | ${fixed(factMs.value, 0)} ms | | \`membership\` |
-| a configuration in force at all (limit 7 s) | ${fixed(configMs.value, 0)} ms | | \`membership\`, all nodes on one core or two |
-| a crash known to all | ${fixed(Math.min(...crash))} to ${fixed(Math.max(...crash))} s | | \`membership\` |
+| heartbeats and rumours, bytes/s sent, headers included | ${formatNumber(wireBytesPerS.value, 0)} | ${formatNumber(wireBytesPerS.slope, 2)} a daemon | \`membership\`, 50 to ${largestNodeCount} nodes |
+| changes of configuration, bytes/s on average | ${formatNumber(changeBytesPerS, 0)} | ${formatNumber(changeBytes.value / 1000, 0)} kB a change | \`membership --count 100\`, extrapolated |
+| **bytes/s in all** | **${formatNumber(controlBytes, 0)}** ${controlBytes <= limit.bytesPerS ? 'within the limit' : '**over the limit**'} | | |
+| processor | ${formatNumber(cpuPercent.value, 3)}% of a core | ${formatNumber(cpuPercent.slope * 1000, 3)}% a thousand daemons | \`membership\` |
+| memory: links, members, facts | ${formatNumber(memoryKb / 1024, 2)} MB | largest row taken | \`membership\`, resident set of all nodes over their number |
+| a fact at all daemons | ${formatNumber(factMs.value, 0)} ms | | \`membership\` |
+| a configuration in force at all (limit 7 s) | ${formatNumber(configMs.value, 0)} ms | | \`membership\`, all nodes on one core or two |
+| a crash known to all | ${formatNumber(Math.min(...crashKnownS))} to ${formatNumber(Math.max(...crashKnownS))} s | | \`membership\` |
 
 ## Roles
 
 | role | state | messages | processor and memory at the size | mechanism |
 |---|---|---|---|---|
-| callers' streams | answer tokens, prompt | 1 write a token | ${fixed(streamShare * 100)}% of a core for ${fixed(perDaemon.tokens)} tokens/s; ${fixed(heapMb, 2)} MB for ${fixed(perDaemon.streams, 0)} streams (${overhead.memory!.heapKbPerStream} KB each) (\`overhead\`) | answer buffer with attempt and offset; writer at the caller's pace |
-| plain calls | request, answer kept 10 min | 1 call | ${fixed(plainShare * 100, 2)}% of a core for ${fixed(perDaemon.requests)} requests/s, all taken as plain (\`overhead\`) | dispatcher, fair queue |
+| callers' streams | answer tokens, prompt | 1 write a token | ${formatNumber(streamShare * 100)}% of a core for ${formatNumber(perDaemon.tokens)} tokens/s; ${formatNumber(heapMb, 2)} MB for ${formatNumber(perDaemon.streams, 0)} streams (${overhead.memory!.heapKbPerStream} KB each) (\`overhead\`) | answer buffer with attempt and offset; writer at the caller's pace |
+| plain calls | request, answer kept 10 min | 1 call | ${formatNumber(plainShare * 100, 2)}% of a core for ${formatNumber(perDaemon.requests)} requests/s, all taken as plain (\`overhead\`) | dispatcher, fair queue |
 | routing | a view of each endpoint (${size.servers}), subset of 24 | none; load comes with answers | ${route.times.find((row) => row.endpoints === 24)!.target} us a decision over the subset, ${route.times.find((row) => row.endpoints === 600)!.target} us over 600 (\`route\`) | rendezvous subset, best of a few at random |
-| reclaim planner | streams on leaving endpoints | orders to engines | ${reclaimPlan.medianMs} ms for ${fixed(reclaimPlan.streams!)} streams; a daemon has ${fixed(perDaemon.streams, 0)} (\`reclaim\`) | knapsack for each source, bounded local search |
-| claims (8 daemons write one shard each) | ${fixed(claimsPerS * 3600 / 8)} claims a shard for an hour, about 200 B each: ${fixed(claimsPerS * 3600 / 8 * 200 / 1e6)} MB (worked out, size of a claim assumed) | 1 call to the shard's writer | ${claims.writesPerS} store writes/s for the fleet at ${claims.claimsPerS} claims/s; ${claims.addedMsP50} ms added (\`once\`) | head object replaced under its version |
-| standby for another daemon | prompts and places of its streams, ${fixed(perDaemon.streams * size.promptBytes / 1e6, 2)} MB | ${fixed(perDaemon.requests)} records/s, ${fixed(perDaemon.requests * size.promptBytes / 1000, 0)} kB/s (prompts of ${fixed(size.promptBytes)} B assumed); request data, not control | not measured | heir by rendezvous in another domain |
+| reclaim planner | streams on leaving endpoints | orders to engines | ${reclaimPlan.medianMs} ms for ${formatNumber(reclaimPlan.streams!)} streams; a daemon has ${formatNumber(perDaemon.streams, 0)} (\`reclaim\`) | knapsack for each source, bounded local search |
+| claims (8 daemons write one shard each) | ${formatNumber(claimsPerS * 3600 / 8)} claims a shard for an hour, about 200 B each: ${formatNumber(claimsPerS * 3600 / 8 * 200 / 1e6)} MB (worked out, size of a claim assumed) | 1 call to the shard's writer | ${claimsRow.writesPerS} store writes/s for the fleet at ${claimsRow.claimsPerS} claims/s; ${claimsRow.addedMsP50} ms added (\`once\`) | head object replaced under its version |
+| standby for another daemon | prompts and places of its streams, ${formatNumber(perDaemon.streams * size.promptBytes / 1e6, 2)} MB | ${formatNumber(perDaemon.requests)} records/s, ${formatNumber(perDaemon.requests * size.promptBytes / 1000, 0)} kB/s (prompts of ${formatNumber(size.promptBytes)} B assumed); request data, not control | not measured | heir by rendezvous in another domain |
 | membership, configuration, facts | ${size.daemons} records | see above | see above | three rings of neighbours, rumours, digests |
 
-## The store (several hundred writes and ${fixed(limit.storeReads)} reads a second for the fleet)
+## The store (several hundred writes and ${formatNumber(limit.storeReads)} reads a second for the fleet)
 
 | use | writes/s | reads/s | mechanism |
 |---|---|---|---|
-| claims | ${fixed(claims.writesPerS! + calls.sealing)} | ${claims.readsPerS} | group commit, ${fixed(claimsPerS, 0)} claims/s; sealing worked out |
-| configuration | ${fixed(size.changesPerDay / DAY_S, 3)} | ${fixed(calls.configReads + calls.configWatches)} | ${watchers} daemons watch (${watchers} waiting watches), the others poll each minute |
-| members | ${fixed(calls.members)} | at joins | registration each five minutes |
-| audit | ${fixed(calls.audit, 2)} | on request | |
-| **in all** | **${fixed(writes)}** | **${fixed(reads)}** | |
+| claims | ${formatNumber(claimsRow.writesPerS! + storeCallsPerS.sealing)} | ${claimsRow.readsPerS} | group commit, ${formatNumber(claimsPerS, 0)} claims/s; sealing worked out |
+| configuration | ${formatNumber(size.changesPerDay / DAY_S, 3)} | ${formatNumber(storeCallsPerS.configReads + storeCallsPerS.configWatches)} | ${watcherCount} daemons watch (${watcherCount} waiting watches), the others poll each minute |
+| members | ${formatNumber(storeCallsPerS.members)} | at joins | registration each five minutes |
+| audit | ${formatNumber(storeCallsPerS.audit, 2)} | on request | |
+| **in all** | **${formatNumber(storeWritesPerS)}** | **${formatNumber(storeReadsPerS)}** | |
 
-After an outage the fleet's peak is ${storeAt420.peakPerSAfter} calls/s (\`store\`, 420 daemons; ${fixed(store.find((row) => row.daemons === 420 && row.client === 'naive')!.peakPerSAfter as number)} with a plain retry); during one ${storeAt420.meanPerSDuring} calls/s in the mean, ${storeAt420.peakPerSDuring} at the most.
+After an outage the fleet's peak is ${storeAt420.peakPerSAfter} calls/s (\`store\`, 420 daemons; ${formatNumber(store.find((row) => row.daemons === 420 && row.client === 'naive')!.peakPerSAfter as number)} with a plain retry); during one ${storeAt420.meanPerSDuring} calls/s in the mean, ${storeAt420.peakPerSDuring} at the most.
 
 ## On the platform, by replay
 
 One day of the users' large deployment played at three sizes (the sweep of their bench, commit ${sweep.commit}); the last column but two carries on how the **busiest** daemon grows, and is not played. 300 machines were not played: they would take
 three quarters of this machine's memory. No scale run of our own stands beside it.
 
-${table(sweep.days)}
+${formatTable(sweep.days)}
 
 | figure | mean at 10, 30, 100 machines | busiest | grows as machines to the power of | worked out at 415 | limit | mechanism |
 |---|---|---|---|---|---|---|
-${sweep.slopes.map(({ what, mean, busiest, power, at415, limit: most, mechanism }) => `| ${what} | ${mean.join(', ')} | ${busiest.join(', ')} | ${power} | ${fixed(at415)} | ${most} | ${mechanism} |`).join('\n')}
+${sweep.slopes.map(({ what, mean, busiest, power, at415, limit: most, mechanism }) => `| ${what} | ${mean.join(', ')} | ${busiest.join(', ')} | ${power} | ${formatNumber(at415)} | ${most} | ${mechanism} |`).join('\n')}
 
 **Not within its limit**: control bytes of the busiest daemon (2 kB a second are meant; callers' bytes are in the figures above, and the growth is the keeper's). See [scale](design/scale.md).
 
 ## What breaks first beyond this size
 
 1. **Bytes of control** grow with the number of daemons by heartbeats' table exchanges and by each change of configuration being acknowledged in every
-   daemon's record: ${fixed(changeBytes.value / 1000, 0)} kB a change. Counting by sample, or along a tree, comes next.
-2. **The cloud API**: the fleet reads the host list 20 times a second (each daemon each ${fixed(2 * size.daemons / 40)} s, worked out), and each daemon waits for notices, ${fixed(size.daemons / 20)} calls/s. The letter
+   daemon's record: ${formatNumber(changeBytes.value / 1000, 0)} kB a change. Counting by sample, or along a tree, comes next.
+2. **The cloud API**: the fleet reads the host list 20 times a second (each daemon each ${formatNumber(2 * size.daemons / 40)} s, worked out), and each daemon waits for notices, ${formatNumber(size.daemons / 20)} calls/s. The letter
    names no limit for it; few daemons that wait and tell the others would do, as for the configuration.
-3. **Claims** write at most ${fixed(8000 / (read('once').commitIntervalMs as number), 0)} times a second whatever the load, and their sealing grows with it; a head grows with the claims of a commit interval, and the latency with the interval.
+3. **Claims** write at most ${formatNumber(8000 / (readFigures('once').commitIntervalMs as number), 0)} times a second whatever the load, and their sealing grows with it; a head grows with the claims of a commit interval, and the latency with the interval.
 4. **A lease** is read by every contender each 5 s; three contend for each pool's, 0.4 reads and 0.2 writes a second for each pool (worked out).
-5. **A wave of a domain** planned by daemons that do not know of each other: ${fixed((uncoordinated.recomputed! / uncoordinated.onePlanner! - 1) * 100, 0)}% more recomputed tokens at 2 s of notice (docs/design/reclaim.md).
+5. **A wave of a domain** planned by daemons that do not know of each other: ${formatNumber((uncoordinated.recomputed! / uncoordinated.onePlanner! - 1) * 100, 0)}% more recomputed tokens at 2 s of notice (docs/design/reclaim.md).
 
 ## Not measured
 
@@ -141,7 +141,7 @@
 memory of the claim table; TLS between daemons, which is not built.
 `
 
-function table (rows: readonly Row[]): string {
+function formatTable (rows: readonly Row[]): string {
   const columns = Object.keys(rows[0]!)
   const cell = (value: unknown) => (typeof value === 'object' ? JSON.stringify(value) : String(value))
   return [`| ${columns.join(' | ')} |`, `|${columns.map(() => '---').join('|')}|`, ...rows.map((row) => `| ${columns.map((column) => cell(row[column])).join(' | ')} |`)].join('\n')
@@ -151,22 +151,22 @@
   ['overhead', 'What one daemon adds, against calling the stand-in endpoint directly. Stand-ins and load run on other threads of the same machine.', [[{ ...overhead.plain }], [{ ...overhead.saturated }], [{ ...overhead.stream }], [{ ...overhead.memory }]]],
   ['reclaim', 'Recomputed tokens and late requests of a wave. Engines assumed: 12,000 tokens/s prefill, 28 ms between tokens, 64 slots half full, half of the streams long (prompts of 2,000 to 8,000 tokens), 30% with a prefix cached at one target.', [reclaim.waves, [reclaim.optimum], [reclaim.planning], [reclaim.uncoordinated]]],
   ['once', 'Claims on idempotency keys; the stand-in store takes 5 ms.', [once]],
-  ['membership', 'Small nodes in one process on loopback. Wire bytes count headers (112 B a message). memoryKb at 9 nodes is noise.', [membership, change, read('membership').detectors as Row[]]],
-  ['route', 'Time of a decision in microseconds; herding on reports that lag.', [route.times, read('route').herding as Row[]]],
-  ['limits', 'One account at ten times its share; load in capacities.', [read('limits').shares as Row[], read('limits').goodput as Row[]]],
-  ['cost', 'Means of five seeded days.', [read('cost').rows as Row[]]],
-  ['wave', 'One session of 400 requests: a domain reclaimed with 2 s of notice, another lost without, the store down for 8 s; beside it the same without faults. Attempts are all that began, taken those that an endpoint took.', [read('wave').rows as Row[]]],
+  ['membership', 'Small nodes in one process on loopback. Wire bytes count headers (112 B a message). memoryKb at 9 nodes is noise.', [membership, configChangeRows, readFigures('membership').detectors as Row[]]],
+  ['route', 'Time of a decision in microseconds; herding on reports that lag.', [route.times, readFigures('route').herding as Row[]]],
+  ['limits', 'One account at ten times its share; load in capacities.', [readFigures('limits').shares as Row[], readFigures('limits').goodput as Row[]]],
+  ['cost', 'Means of five seeded days.', [readFigures('cost').rows as Row[]]],
+  ['wave', 'One session of 400 requests: a domain reclaimed with 2 s of notice, another lost without, the store down for 8 s; beside it the same without faults. Attempts are all that began, taken those that an endpoint took.', [readFigures('wave').rows as Row[]]],
   ['store', 'Calls on the store around an outage of 8 s.', [store]]
 ]
 
-const note = ['platform', 'large', 'schedules'].map((name) => readFileSync(new URL(`../docs/figures/${name}.md`, import.meta.url), 'utf8')).join('\n')
+const replayNotes = ['platform', 'large', 'schedules'].map((name) => readFileSync(new URL(`../docs/figures/${name}.md`, import.meta.url), 'utf8')).join('\n')
 const measurements = `# Measurements
 
 Written by \`node --import tsx scripts/pages.ts\` from docs/figures; each file there is the last line of \`npm run -s bench -- NAME\` at seed 1. Run on ${DATE}, one machine of 8
 cores. Baselines are our own: earlier versions, naive twins, direct calls.
 
-${note}
-${sections.map(([name, about, tables]) => `## ${name}\n\n${about} \`npm run bench -- ${name}\`, file of ${statSync(new URL(`../docs/figures/${name}.json`, import.meta.url)).size} bytes.\n\n${tables.map(table).join('\n\n')}\n`).join('\n')}`
+${replayNotes}
+${sections.map(([name, about, tables]) => `## ${name}\n\n${about} \`npm run bench -- ${name}\`, file of ${statSync(new URL(`../docs/figures/${name}.json`, import.meta.url)).size} bytes.\n\n${tables.map(formatTable).join('\n\n')}\n`).join('\n')}`
 
 writeFileSync(new URL('../docs/CAPACITY.md', import.meta.url), capacity)
 writeFileSync(new URL('../docs/MEASUREMENTS.md', import.meta.url), measurements)
--- a/scripts/undici_core.cjs
+++ b/scripts/undici_core.cjs
@@ -1,4 +1,4 @@
-// The parts of undici that a daemon calls. Its own index also loads fetch, WebSocket, caches and mocks: 70 of 160 ms of a start.
+// The parts of undici that a daemon uses. The package's index also loads fetch, WebSocket, caches and mocks, which takes 70 of the 160 ms of a start.
 const api = require('undici/lib/api')
 const buildConnector = require('undici/lib/core/connect')
 const Agent = require('undici/lib/dispatcher/agent')
