--- a/cli/main.ts
+++ b/cli/main.ts
@@ -67,8 +67,8 @@
   .option('--deployment <name>', 'adunni-levy or kingston-parish', { default: 'adunni-levy' })
   .action(async (options: { deployment: string }) => {
     const { adunniLevy, kingstonParish } = await import('../demo/deployments.ts')
-    const { servePlatform } = await import('../demo/platform.ts')
-    const served = await servePlatform(options.deployment === 'kingston-parish' ? kingstonParish() : adunniLevy(), { objectApi: 7000, cloudApi: 7001 })
+    const { serveStandIns } = await import('../demo/platform.ts')
+    const served = await serveStandIns(options.deployment === 'kingston-parish' ? kingstonParish() : adunniLevy(), { objectApi: 7000, cloudApi: 7001 })
     print(JSON.stringify({ objectApi: served.objectApi.url, cloudApi: served.cloudApi.url, hosts: served.cloud.live().length }))
   })
 
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -1,4 +1,4 @@
-/** A caller as the brief describes one: sends, follows, resumes, and checks what it was given. */
+/** Simulated caller that sends requests, follows and resumes their answers, and checks the results. */
 import { createParser } from 'eventsource-parser'
 import { request } from 'undici'
 import { serviceAnswer, wholeAnswer, type Ledger } from '../standins/index.ts'
@@ -13,48 +13,48 @@
   maxTokens: number
   stream: boolean
   idempotencyKey: string
-  /** False for work that must run at most once. */
+  /** False for a request that must run at most once. */
   idempotent: boolean
 }
 
-/** What became of it. */
+/** Result of a request. */
 export interface CallerResult { outcome: Outcome | 'lost', firstTokenMs: number | undefined, wholeMs: number, resumes: number }
 
-/** Picks a daemon's address, as the platform's balancer does. */
+/** Returns the address of a daemon, like the platform's load balancer. */
 export type Balancer = () => string
 
 interface Session { req: CallerRequest, id: string | undefined, tokens: string[], firstTokenMs: number | undefined, startedAtMs: number, resumes: number }
 
 const MAX_RESUMES = 20
-const RESUME_AFTER_MS = 100
+const RESUME_DELAY_MS = 100
 const TIMEOUT_MS = 130_000
 
-/** Sends one request, follows it wherever it goes, and reports to the ledger what was wrong with the answer. */
-export async function call (req: CallerRequest, balancer: Balancer, ledger: Ledger): Promise<CallerResult> {
+/** Sends one request, follows it across daemons, and reports a wrong or lost answer to the ledger. */
+export async function sendRequest (req: CallerRequest, balancer: Balancer, ledger: Ledger): Promise<CallerResult> {
   const session: Session = { req, id: undefined, tokens: [], firstTokenMs: undefined, startedAtMs: Date.now(), resumes: 0 }
   if (!req.idempotent) ledger.expectOnce(req.input)
   for (;;) {
     const outcome = await attempt(session, balancer())
-    if (outcome !== 'resume') return finish(session, outcome, ledger)
-    if (++session.resumes > MAX_RESUMES) return finish(session, 'lost', ledger)
-    await new Promise((resolve) => setTimeout(resolve, RESUME_AFTER_MS))
+    if (outcome !== 'resume') return recordResult(session, outcome, ledger)
+    if (++session.resumes > MAX_RESUMES) return recordResult(session, 'lost', ledger)
+    await new Promise((resolve) => setTimeout(resolve, RESUME_DELAY_MS))
   }
 }
 
-function finish (session: Session, outcome: Outcome | 'lost', ledger: Ledger): CallerResult {
+function recordResult (session: Session, outcome: Outcome | 'lost', ledger: Ledger): CallerResult {
   const { req } = session
   if (outcome === 'lost') ledger.lost()
   if (outcome === 'not-run') ledger.toldNotRun(req.input)
-  if (outcome === 'answered' && !isRight(session)) ledger.crossed()
+  if (outcome === 'answered' && !isCorrect(session)) ledger.crossed()
   return { outcome, firstTokenMs: session.firstTokenMs, wholeMs: Date.now() - session.startedAtMs, resumes: session.resumes }
 }
 
-function isRight ({ req, tokens }: Session): boolean {
+function isCorrect ({ req, tokens }: Session): boolean {
   const expected = req.stream ? wholeAnswer(req.input, req.maxTokens).join('') : serviceAnswer(req.input)
   return tokens.join('') === expected
 }
 
-/** One connection: sends the request, or resumes it by its id once that is known. */
+/** Opens one connection that sends the request, or resumes it once its id is known. */
 async function attempt (session: Session, url: string): Promise<Outcome | 'lost' | 'resume'> {
   try {
     const res = session.id === undefined ? await send(session, url) : await resume(session, url)
@@ -68,7 +68,7 @@
     if (body.answer !== undefined) session.tokens = [body.answer]
     return body.outcome ?? 'lost'
   } catch (err) {
-    // A refused connection is the balancer's mistake; a cut one is resumed by id, or by sending the same idempotency key again.
+    // A refused connection means that the balancer's state is stale. A closed one is resumed by id or by sending the same idempotency key again.
     return (err as NodeJS.ErrnoException).code === undefined && !(err instanceof Error) ? 'lost' : 'resume'
   }
 }
@@ -107,7 +107,7 @@
     onEvent: ({ event, data }) => {
       const value = JSON.parse(data) as { tokens: string[], outcome: Outcome }
       if (event === 'end' || event === 'problem') outcome = value.outcome
-      else if (event !== 'moved') take(session, value.tokens)
+      else if (event !== 'moved') appendTokens(session, value.tokens)
     }
   })
   try {
@@ -118,7 +118,7 @@
   return outcome
 }
 
-function take (session: Session, tokens: readonly string[]): void {
+function appendTokens (session: Session, tokens: readonly string[]): void {
   session.firstTokenMs ??= Date.now() - session.startedAtMs
   session.tokens.push(...tokens)
 }
--- a/demo/demo.ts
+++ b/demo/demo.ts
@@ -1,8 +1,8 @@
-/** The main job on an embedded default: mixed work, a failure domain reclaimed half way, one daemon drained. */
+/** Demo session: runs mixed work while a failure domain is reclaimed half way through and one daemon is drained. */
 import { randomUUID } from 'node:crypto'
 import { seededRandom } from '../daemon/seeded_random.ts'
 import type { Random } from '../core/routing/index.ts'
-import { call, type Balancer, type CallerRequest, type CallerResult } from './caller.ts'
+import { sendRequest, type Balancer, type CallerRequest, type CallerResult } from './caller.ts'
 import { adunniLevy, kingstonParish, type Deployment, type WorkKind } from './deployments.ts'
 import { demoCredential, startPlatform, type Platform } from './platform.ts'
 import { delay } from '../core/time/index.ts'
@@ -26,17 +26,17 @@
   seed: number
   /** Requests for each deployment. Default 200. */
   requests?: number
-  /** Milliseconds of notice. Default 2,000. */
+  /** Milliseconds between the reclaim notice and the loss of the hosts. Default 2,000. */
   noticeMs?: number
-  /** Receives lines for a person. */
+  /** Receives lines of human-readable output. */
   print: (line: string) => void
 }
 
-const ARRIVAL_MS = 8000
-const BALANCER_EVERY_MS = 500
+const ARRIVAL_PERIOD_MS = 8000
+const BALANCER_INTERVAL_MS = 500
 const CHARS_PER_TOKEN = 4
 
-/** Runs both deployments, one after the other, and returns the sum. */
+/** Runs both deployments, one after the other, and returns the sum of their totals. */
 export async function runDemo (options: DemoOptions): Promise<DemoTotals> {
   const totals: DemoTotals[] = []
   for (const deployment of [adunniLevy(), kingstonParish()]) totals.push(await runDeployment(deployment, options))
@@ -48,7 +48,7 @@
   print(`${deployment.name}: starting stand-in platform and 3 daemons`)
   const platform = await startPlatform(deployment, { seed: options.seed, drainMs: 4000 })
   const random = seededRandom(options.seed)
-  const balancer = balance(platform, random)
+  const balancer = startBalancer(platform, random)
   const count = options.requests ?? 200
   const results = new Map<string, CallerResult[]>()
   const faults = injectFaults(platform, options)
@@ -56,8 +56,8 @@
   const progress = setInterval(() => print(`  ${done} of ${count} requests finished`), 2000)
   await Promise.all(Array.from({ length: count }, async (_, i) => {
     const { req, kind } = makeRequest(deployment, random, i)
-    await delay(i * ARRIVAL_MS / count)
-    const result = await call(req, balancer.pick, platform.ledger)
+    await delay(i * ARRIVAL_PERIOD_MS / count)
+    const result = await sendRequest(req, balancer.pick, platform.ledger)
     results.set(kind.className, [...results.get(kind.className) ?? [], result])
     done++
   }))
@@ -70,10 +70,10 @@
   return totals
 }
 
-/** Half way, a whole failure domain gets its notice, and a daemon is drained while the wave runs. */
+/** Reclaims all hosts of a failure domain half way through the session, and drains a daemon meanwhile. */
 async function injectFaults ({ cloud, daemons, deployment }: Platform, options: DemoOptions): Promise<void> {
   const noticeMs = options.noticeMs ?? 2000
-  await delay(ARRIVAL_MS / 2)
+  await delay(ARRIVAL_PERIOD_MS / 2)
   const domain = deployment.domains[0]!
   const hosts = cloud.hostsIn(domain)
   options.print(`  ${domain}: all ${hosts.length} hosts reclaimed with ${noticeMs / 1000} s of notice`)
@@ -84,10 +84,10 @@
   options.print(`  ${daemons[1]!.id}: left`)
 }
 
-/** The platform's balancer: looks at readiness now and then, so it is wrong for a while. */
-function balance ({ daemons }: Platform, random: Random): { pick: Balancer, stop (): void } {
+/** Simulates the platform's load balancer, which polls readiness and is therefore out of date for a while after a change. */
+function startBalancer ({ daemons }: Platform, random: Random): { pick: Balancer, stop (): void } {
   let ready = daemons.filter((daemon) => daemon.ready)
-  const timer = setInterval(() => { ready = daemons.filter((daemon) => daemon.ready) }, BALANCER_EVERY_MS)
+  const timer = setInterval(() => { ready = daemons.filter((daemon) => daemon.ready) }, BALANCER_INTERVAL_MS)
   return {
     pick: () => ready[Math.floor(random() * ready.length)]!.addresses.callers,
     stop: () => clearInterval(timer)
@@ -97,10 +97,10 @@
 function makeRequest (deployment: Deployment, random: Random, i: number): { req: CallerRequest, kind: WorkKind } {
   const kind = pickWeighted(deployment.work, random)
   const accounts = deployment.config.accounts.filter((account) => account.classes.includes(kind.className))
-  // The first account is the large one.
+  // The first account is the largest: at least half of the requests come from it.
   const account = accounts[random() < 0.5 ? 0 : Math.floor(random() * accounts.length)]!
   const cls = deployment.config.classes.find(({ name }) => name === kind.className)!
-  const input = `${kind.className} ${i} `.padEnd(between(kind.promptTokens, random) * CHARS_PER_TOKEN, `case file of ${account.name}, `)
+  const input = `${kind.className} ${i} `.padEnd(randomInteger(kind.promptTokens, random) * CHARS_PER_TOKEN, `case file of ${account.name}, `)
   return {
     kind,
     req: {
@@ -108,7 +108,7 @@
       credential: demoCredential(account.name),
       className: kind.className,
       input,
-      maxTokens: between(kind.maxTokens, random),
+      maxTokens: randomInteger(kind.maxTokens, random),
       stream: kind.stream,
       idempotencyKey: randomUUID(),
       idempotent: cls.idempotent
@@ -117,21 +117,21 @@
 }
 
 function pickWeighted (work: readonly WorkKind[], random: Random): WorkKind {
-  let left = random() * work.reduce((sum, kind) => sum + kind.weight, 0)
-  return work.find((kind) => (left -= kind.weight) < 0) ?? work.at(-1)!
+  let remaining = random() * work.reduce((sum, kind) => sum + kind.weight, 0)
+  return work.find((kind) => (remaining -= kind.weight) < 0) ?? work.at(-1)!
 }
 
-function between ([from, to]: readonly [number, number], random: Random): number {
+function randomInteger ([from, to]: readonly [number, number], random: Random): number {
   return from + Math.floor(random() * (to - from + 1))
 }
 
 function summarize ({ ledger, cloud }: Platform, results: readonly CallerResult[]): DemoTotals {
-  const told = (outcome: CallerResult['outcome']) => results.filter((result) => result.outcome === outcome).length
+  const countOf = (outcome: CallerResult['outcome']) => results.filter((result) => result.outcome === outcome).length
   return {
-    accepted: results.length - told('not-run'),
-    answered: told('answered'),
-    notRun: told('not-run'),
-    unknown: told('unknown'),
+    accepted: results.length - countOf('not-run'),
+    answered: countOf('answered'),
+    notRun: countOf('not-run'),
+    unknown: countOf('unknown'),
     ...ledger.totals(),
     falselyNotRun: ledger.falselyNotRun.length,
     cost: Number(cloud.cost().toFixed(4))
--- a/demo/deployments.ts
+++ b/demo/deployments.ts
@@ -1,4 +1,4 @@
-/** Both deployments in small: failure domains, host classes, endpoints and the work that arrives. */
+/** Small versions of both deployments: failure domains, host classes, endpoints and the work that arrives. */
 import { fileURLToPath } from 'node:url'
 import { configSchema, parseJsonc, type Config } from '../core/config/index.ts'
 import { readText } from '../daemon/read_text.ts'
@@ -7,20 +7,20 @@
 /** One kind of request that callers send. */
 export interface WorkKind { className: string, weight: number, promptTokens: [number, number], maxTokens: [number, number], stream: boolean }
 
-/** One deployment's shape. */
+/** Hosts, services, work and configuration of one deployment. */
 export interface Deployment {
   name: string
   domains: readonly string[]
   hostClasses: readonly HostClass[]
-  /** Hosts for each pool. */
+  /** Number of hosts by pool. */
   hosts: ReadonlyMap<string, number>
-  /** Plain services and their latency in milliseconds. */
+  /** Latency in milliseconds by plain service. */
   services: ReadonlyMap<string, number>
   work: readonly WorkKind[]
   config: Config
 }
 
-/** Speeds of the stand-in engine: faster than a real one, so that a demo takes seconds. */
+/** Speeds of the stand-in engine, which is faster than a real one so that a demo takes only seconds. */
 const SPEED = {
   batchSlots: 16,
   prefillTokensPerS: 20_000,
@@ -38,7 +38,7 @@
   return parseJsonc(configSchema, readText(path), path)
 }
 
-/** Council tax claims: six model servers and three of the status service. */
+/** Council tax claims: six model servers and three servers of the status service. */
 export function adunniLevy (): Deployment {
   return {
     name: 'adunni-levy',
@@ -55,7 +55,7 @@
   }
 }
 
-/** Athletics records: thirteen ranking model servers and three of the results service. */
+/** Athletics records: thirteen ranking model servers and three servers of the results service. */
 export function kingstonParish (): Deployment {
   return {
     name: 'kingston-parish',
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -1,11 +1,11 @@
-/** The stand-in platform and a few daemons before it, all on loopback in one process. */
+/** The stand-in platform and a few daemons that use it, all on loopback in one process. */
 import { as, type FailureDomain, type PoolName } from '../core/ids/index.ts'
 import { Daemon } from '../daemon/daemon.ts'
 import { settingsSchema, type Settings } from '../daemon/settings.ts'
 import { Ledger, serveCloudApi, serveEngine, serveObjectApi, serveService, StandInCloud, StandInEngine, StandInStore, type Listening } from '../standins/index.ts'
 import type { Deployment } from './deployments.ts'
 
-/** Everything a session needs. */
+/** A running stand-in platform with its daemons. */
 export interface Platform {
   deployment: Deployment
   ledger: Ledger
@@ -18,24 +18,24 @@
 /** Options of {@linkcode startPlatform}. */
 export interface PlatformOptions {
   seed: number
-  /** Default 3. */
+  /** Number of daemons. Default 3. */
   daemons?: number
-  /** Milliseconds that a draining daemon has. Default 8,000. */
+  /** Milliseconds that a daemon has to drain. Default 8,000. */
   drainMs?: number
 }
 
 export const DEMO_SECRET = 'demo-peer-secret'
 
-/** Credential of an account or operator of the example configurations. */
+/** Returns the credential of an account or operator of the example configurations. */
 export function demoCredential (name: string): string {
   return `${name}-demo-credential`
 }
 
-/** Stand-ins of one deployment that listen. */
-export interface ServedPlatform { ledger: Ledger, store: StandInStore, cloud: StandInCloud, objectApi: Listening, cloudApi: Listening, stop (): Promise<void> }
+/** Listening stand-ins of one deployment. */
+export interface ServedStandIns { ledger: Ledger, store: StandInStore, cloud: StandInCloud, objectApi: Listening, cloudApi: Listening, stop (): Promise<void> }
 
 /** Starts the stand-in platform and boots the deployment's hosts. */
-export async function servePlatform (deployment: Deployment, ports = { objectApi: 0, cloudApi: 0 }): Promise<ServedPlatform> {
+export async function serveStandIns (deployment: Deployment, ports = { objectApi: 0, cloudApi: 0 }): Promise<ServedStandIns> {
   const ledger = new Ledger()
   const store = new StandInStore()
   const cloud = new StandInCloud({
@@ -54,9 +54,9 @@
   return { ledger, store, cloud, objectApi, cloudApi, stop }
 }
 
-/** Starts the stand-in platform and daemons before it, and applies the deployment's configuration. */
+/** Starts the stand-in platform and its daemons, and applies the deployment's configuration. */
 export async function startPlatform (deployment: Deployment, options: PlatformOptions): Promise<Platform> {
-  const { ledger, store, cloud, objectApi, cloudApi, stop } = await servePlatform(deployment)
+  const { ledger, store, cloud, objectApi, cloudApi, stop } = await serveStandIns(deployment)
   const daemons: Daemon[] = []
   for (let i = 0; i < (options.daemons ?? 3); i++) {
     const settings = daemonSettings(deployment, i, { objectApi: objectApi.url, cloudApi: cloudApi.url, drainMs: options.drainMs ?? 8000, seeds: seedsOf(daemons) })
@@ -98,11 +98,14 @@
   return daemons.map((daemon) => daemon.addresses.peers)
 }
 
-/** Waits until something holds. */
+/**
+ * Waits until a condition holds.
+ * @throws {Error} If it does not hold within `timeoutMs`.
+ */
 export async function until (holds: () => boolean, timeoutMs = 10_000): Promise<void> {
   const endsAtMs = Date.now() + timeoutMs
   while (!holds()) {
-    if (Date.now() > endsAtMs) throw new Error('Cannot go on: what was waited for did not happen in time')
+    if (Date.now() > endsAtMs) throw new Error('Cannot continue: the condition was not met in time')
     await new Promise((resolve) => setTimeout(resolve, 20))
   }
 }
