--- a/store/http_store_test.ts
+++ b/store/http_store_test.ts
@@ -2,13 +2,13 @@
 import { serveObjectApi, StandInStore, type Listening } from '../standins/index.ts'
 import { HttpStore, writeSurely, type StoreFailure } from './index.ts'
 
-let inner: StandInStore
+let standIn: StandInStore
 let served: Listening
 let store: HttpStore
 
 beforeEach(async () => {
-  inner = new StandInStore()
-  served = await serveObjectApi(inner)
+  standIn = new StandInStore()
+  served = await serveObjectApi(standIn)
   store = new HttpStore({ url: served.url, timeoutMs: 500 })
 })
 afterEach(async () => { await served.close() })
@@ -33,18 +33,18 @@
 })
 
 test('a refused write is not-applied, a lost answer is unsure, and reading back resolves it', async () => {
-  inner.faults.down = true
+  standIn.faults.down = true
   expect(await failureOf(store.create('k', 'v'))).toBe('not-applied')
-  inner.faults.down = false
-  inner.faults.loseAnswers = 1
+  standIn.faults.down = false
+  standIn.faults.loseAnswers = 1
   expect(await failureOf(store.create('k', 'v'))).toBe('unsure')
-  inner.faults.loseAnswers = 1
+  standIn.faults.loseAnswers = 1
   expect(await writeSurely(store, 'sure', { writeId: 'w', data: 1, version: 0 })).toMatchObject({ applied: true })
   expect(await writeSurely(store, 'sure', { writeId: 'other', data: 2, version: 0 })).toMatchObject({ applied: false, data: 1 })
 })
 
 test('a call that times out is unsure, and a refused connection is not-applied', async () => {
-  inner.faults.slowMs = 2000
+  standIn.faults.slowMs = 2000
   expect(await failureOf(store.create('k', 'v'))).toBe('unsure')
   await served.close()
   expect(await failureOf(store.create('k', 'v'))).toBe('not-applied')
--- a/store/store_follower.ts
+++ b/store/store_follower.ts
@@ -51,7 +51,7 @@
   readonly #objects = new Map<string, StoredObject>()
   #version: number | undefined
   #stopped = false
-  #reached = true
+  #reachable = true
   #failures = 0
   #listedAtMs = -Infinity
   /** Time of the store's last answer, on the monotonic clock. */
@@ -65,7 +65,7 @@
   get listed (): boolean { return this.confirmedAtMs > -Infinity }
 
   /** False from the first failed call until the next answer was applied. */
-  get reached (): boolean { return this.#reached }
+  get reached (): boolean { return this.#reachable }
 
   /** Starts following. */
   start (): void {
@@ -134,14 +134,14 @@
   #recordSuccess (): void {
     this.confirmedAtMs = steadyNow()
     this.#failures = 0
-    if (this.#reached) return
-    this.#reached = true
+    if (this.#reachable) return
+    this.#reachable = true
     this.#options.onReach?.(true, 'answers again')
   }
 
   async #handleFailure (err: StoreError): Promise<void> {
-    if (this.#reached) this.#options.onReach?.(false, err.message)
-    this.#reached = false
+    if (this.#reachable) this.#options.onReach?.(false, err.message)
+    this.#reachable = false
     this.#version = undefined
     const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** this.#failures++)
     await delay(maxDelayMs * (0.5 + this.#options.random() / 2))
--- a/store/sure_write.ts
+++ b/store/sure_write.ts
@@ -40,9 +40,9 @@
 async function readBack<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
   const found = await readForVerification(store, key)
   if (!found) return { applied: false, found: undefined, data: undefined }
-  const marked = JSON.parse(found.value) as Marked<T>
-  if (marked.writeId === options.writeId) return { applied: true, version: found.version }
-  return { applied: false, found, data: marked.data }
+  const tagged = JSON.parse(found.value) as Marked<T>
+  if (tagged.writeId === options.writeId) return { applied: true, version: found.version }
+  return { applied: false, found, data: tagged.data }
 }
 
 async function readForVerification (store: ObjectStore, key: string): Promise<StoredObject | undefined> {
