--- a/store/change_log_test.ts
+++ b/store/change_log_test.ts
@@ -60,11 +60,11 @@
   const turn = fc.record({ source: fc.integer({ min: 0, max: 2 }), lag: fc.integer({ min: 0, max: 5 }), lists: fc.boolean() })
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.array(turn, { maxLength: 40 }), (steps, turns) => {
     const relays = [new ChangeLog({ maxRemovedKeys: 2 }), new ChangeLog({ maxRemovedKeys: 2 })]
-    const relayAt = [0, 0]
+    const relayVersions = [0, 0]
     for (const relay of relays) relay.listed({ objects: [], version: 0 })
     const copy = new Map<string, number>()
     let at = 0
-    const take = ({ objects, removed, version }: Changes) => {
+    const applyToCopy = ({ objects, removed, version }: Changes) => {
       at = Math.max(at, version)
       for (const key of removed) copy.delete(key)
       for (const { key, version: written } of objects) if (written > (copy.get(key) ?? 0)) copy.set(key, written)
@@ -72,12 +72,12 @@
     turns.forEach(({ source, lag, lists }, i) => {
       const now = Math.floor(steps.length * (i + 1) / turns.length)
       const which = source % 2
-      const upTo = Math.max(relayAt[which]!, now - lag)
+      const upTo = Math.max(relayVersions[which]!, now - lag)
       if (lists) relays[which]!.listed({ objects: [...stateAt(steps, upTo)].map(([key, version]) => object(key, version)), version: upTo })
-      else relays[which]!.changed(changesBetween(steps, relayAt[which]!, upTo))
-      relayAt[which] = upTo
-      const told = source === 2 ? changesBetween(steps, at, Math.max(at, now)) : relays[which]!.since(at)
-      if (told) take(told)
+      else relays[which]!.changed(changesBetween(steps, relayVersions[which]!, upTo))
+      relayVersions[which] = upTo
+      const answer = source === 2 ? changesBetween(steps, at, Math.max(at, now)) : relays[which]!.since(at)
+      if (answer) applyToCopy(answer)
       expect([...copy].sort()).toEqual([...stateAt(steps, at)].sort())
     })
   }), { numRuns: 500, seed: 7 })
