--- a/store/http_store_test.ts
+++ b/store/http_store_test.ts
@@ -2,20 +2,20 @@
 import { serveObjectApi, StandInStore, type Listening } from '../standins/index.ts'
 import { HttpStore, writeSurely, type StoreFailure } from './index.ts'
 
-let inner: StandInStore
+let standIn: StandInStore
 let served: Listening
 let store: HttpStore
 
 beforeEach(async () => {
-  inner = new StandInStore()
-  served = await serveObjectApi(inner)
+  standIn = new StandInStore()
+  served = await serveObjectApi(standIn)
   store = new HttpStore({ url: served.url, timeoutMs: 500 })
 })
 afterEach(async () => { await served.close() })
 
 const failureOf = (call: Promise<unknown>) => call.then(() => 'none', (err: { failure: StoreFailure }) => err.failure)
 
-test('objects are created once, replaced under their version, listed in pages and watched', async () => {
+test('objects are created once, updated only at their version, listed in pages and watched', async () => {
   const version = await store.create('a/1', 'one')
   expect(await failureOf(store.create('a/1', 'again'))).toBe('conflict')
   const next = await store.update('a/1', 'two', version)
@@ -32,19 +32,19 @@
   expect(await store.get('a/2')).toBeUndefined()
 })
 
-test('a refusal is certain, a lost answer is not, and reading back settles it', async () => {
-  inner.faults.down = true
+test('a refused write is not-applied, a lost answer is unsure, and reading back resolves it', async () => {
+  standIn.faults.down = true
   expect(await failureOf(store.create('k', 'v'))).toBe('not-applied')
-  inner.faults.down = false
-  inner.faults.loseAnswers = 1
+  standIn.faults.down = false
+  standIn.faults.loseAnswers = 1
   expect(await failureOf(store.create('k', 'v'))).toBe('unsure')
-  inner.faults.loseAnswers = 1
+  standIn.faults.loseAnswers = 1
   expect(await writeSurely(store, 'sure', { writeId: 'w', data: 1, version: 0 })).toMatchObject({ applied: true })
   expect(await writeSurely(store, 'sure', { writeId: 'other', data: 2, version: 0 })).toMatchObject({ applied: false, data: 1 })
 })
 
-test('a store that is slower than the time-out is unsure, one that is not there is certain', async () => {
-  inner.faults.slowMs = 2000
+test('a call that times out is unsure, and a refused connection is not-applied', async () => {
+  standIn.faults.slowMs = 2000
   expect(await failureOf(store.create('k', 'v'))).toBe('unsure')
   await served.close()
   expect(await failureOf(store.create('k', 'v'))).toBe('not-applied')
