--- a/bench/wave.ts
+++ b/bench/wave.ts
@@ -58,7 +58,7 @@
 }
 
 async function figuresOf (name: string, session: Session, hosts: ReadonlySet<HostId>): Promise<Figures> {
-  const taken = [...hosts].reduce((sum, host) => sum + session.cloud.endpoint(host).taken, 0)
+  const taken = [...hosts].reduce((sum, host) => sum + session.cloud.endpoint(host).acceptedCount, 0)
   let attempts = 0
   let denied = 0
   for (const { metrics } of session.daemons) {
--- a/standins/_serve.ts
+++ b/standins/_serve.ts
@@ -1,17 +1,17 @@
-/** Listens with a Koa application on a free loopback port. */
+/** Helpers that serve Koa applications on the loopback interface. */
 import { createServer, type IncomingMessage, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type Router from '@koa/router'
 import Koa, { type Context } from 'koa'
 
-/** A server that listens. */
+/** A running HTTP server. */
 export interface Listening { url: string, close (): Promise<void> }
 
-/** What an interface answers when its stand-in throws. */
+/** Writes the response when the stand-in behind a route throws. */
 export type OnFailure = (ctx: Context, err: unknown) => void
 
-/** Builds an application of routes whose failures are answered in one place. */
-export function application (router: Router, onFailure: OnFailure): Koa {
+/** Creates an application from routes, with one error handler for all of them. */
+export function createApplication (router: Router, onFailure: OnFailure): Koa {
   const app = new Koa()
   app.silent = true
   app.use(async (ctx, next) => {
@@ -25,7 +25,7 @@
   return app
 }
 
-/** Starts the application on a port, 0 for a free one; the caller closes it. */
+/** Starts the application on a port (0 selects a free one). The caller must close the server. */
 export async function serve (app: Koa, port = 0): Promise<Listening> {
   const server: Server = createServer(app.callback())
   await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve))
@@ -39,7 +39,7 @@
   }
 }
 
-/** Reads a whole body as text. */
+/** Reads the complete request body as text. */
 export async function readText (req: IncomingMessage): Promise<string> {
   req.setEncoding('utf8')
   let text = ''
@@ -47,7 +47,7 @@
   return text
 }
 
-/** Reads a JSON body. */
+/** Reads and parses a JSON request body. */
 export async function readJson (req: IncomingMessage): Promise<unknown> {
   return JSON.parse(await readText(req))
 }
--- a/standins/answers.ts
+++ b/standins/answers.ts
@@ -1,20 +1,20 @@
-/** The answers that the stand-in endpoints give: a function of the input alone, so that anybody can check them. */
+/** Answers of the stand-in endpoints, computed from the input alone so that any caller can verify them. */
 import xxhash from 'xxhash-wasm'
 
 const { h32 } = await xxhash()
-const WORD_SPACE = 46_656
+const DISTINCT_TOKENS = 46_656 // 36 ** 3: up to three base-36 digits
 
-/** Token `i` of the answer to a prompt. */
+/** Returns token `i` of the answer to a prompt. */
 export function answerToken (prompt: string, i: number): string {
-  return (h32(`${prompt}#${i}`) % WORD_SPACE).toString(36) + ' '
+  return (h32(`${prompt}#${i}`) % DISTINCT_TOKENS).toString(36) + ' '
 }
 
-/** The whole answer to a prompt. */
+/** Returns all tokens of the answer to a prompt. */
 export function wholeAnswer (prompt: string, tokens: number): string[] {
   return Array.from({ length: tokens }, (_, i) => answerToken(prompt, i))
 }
 
-/** The answer of a plain service. */
+/** Returns the answer of a plain service to an input. */
 export function serviceAnswer (input: string): string {
   return `done:${h32(input).toString(16)}`
 }
--- a/standins/cloud.ts
+++ b/standins/cloud.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's cloud: hosts with prices, refusals, reclaim notices and a lagging host list. */
+/** Stand-in for the platform's cloud API: host prices, refused starts, reclaim notices and a delayed host list. */
 import { as, type FailureDomain, type HostId, type PoolName } from '../core/ids/index.ts'
 import type { EndpointSpeed } from '../core/routing/index.ts'
 import { CloudError, type Cloud, type CloudOffer, type HostWanted, type ListedHost, type ReclaimNotice } from '../endpoints/index.ts'
@@ -6,26 +6,26 @@
 import type { Ledger } from './ledger.ts'
 import { StandInService } from './service.ts'
 
-/** Faults, all off at first. */
+/** Injectable faults, all disabled by default. */
 export interface CloudFaults {
-  /** Starts of reclaimable hosts are refused in these failure domains. */
+  /** Failure domains in which starts of reclaimable hosts are refused. */
   refuseIn: Set<FailureDomain>
-  /** Milliseconds by which the host list lags. */
+  /** Delay of the host list, in milliseconds. */
   listLagMs: number
-  /** No notice is sent. */
+  /** Suppresses reclaim notices. */
   silentNotices: boolean
 }
 
-/** A kind of host that the cloud offers. */
+/** A host type offered by the cloud, with its prices and endpoint speed. */
 export interface HostClass { name: string, reclaimablePrice: number, onDemandPrice: number, speed: EndpointSpeed }
 
 /** Options of {@linkcode StandInCloud}. */
 export interface StandInCloudOptions {
   ledger: Ledger
   classes: readonly HostClass[]
-  /** Which pools are plain services, and how long a call takes there. */
+  /** Call latency in milliseconds by pool name; pools listed here run plain services, all others run engines. */
   serviceLatencyMs: ReadonlyMap<string, number>
-  /** Makes an endpoint reachable. Default: at its id, within the process. */
+  /** Makes an endpoint reachable and returns its address. Default: in-process, with the endpoint id as address. */
   publish?: (endpoint: StandInEngine | StandInService) => Promise<{ url: string, close (): Promise<void> }>
 }
 
@@ -33,14 +33,14 @@
 
 const MS_PER_HOUR = 3_600_000
 
-/** One cloud. */
+/** In-memory cloud that starts, stops and reclaims hosts. */
 export class StandInCloud implements Cloud {
   readonly faults: CloudFaults = { refuseIn: new Set(), listLagMs: 0, silentNotices: false }
   readonly #options: StandInCloudOptions
   readonly #hosts = new Map<HostId, Host>()
   readonly #notices: ReclaimNotice[] = []
   readonly #waiting = new Set<() => void>()
-  #history: Array<{ atMs: number, hosts: ListedHost[] }> = []
+  #hostListHistory: Array<{ atMs: number, hosts: ListedHost[] }> = []
   #serial = 0
 
   constructor (options: StandInCloudOptions) {
@@ -49,8 +49,8 @@
 
   async hosts (): Promise<ListedHost[]> {
     const asOf = Date.now() - this.faults.listLagMs
-    const seen = this.#history.filter((entry) => entry.atMs <= asOf).at(-1)
-    return seen?.hosts ?? []
+    const latest = this.#hostListHistory.filter((entry) => entry.atMs <= asOf).at(-1)
+    return latest?.hosts ?? []
   }
 
   async offers (): Promise<CloudOffer[]> {
@@ -63,29 +63,29 @@
 
   async notices (after: number, waitMs: number): Promise<ReclaimNotice[]> {
     const ready = () => this.#notices.filter((notice) => notice.serial > after)
-    if (this.faults.silentNotices || (ready().length === 0 && waitMs > 0)) await this.#wait(waitMs)
+    if (this.faults.silentNotices || (ready().length === 0 && waitMs > 0)) await this.#waitForNotice(waitMs)
     return this.faults.silentNotices ? [] : ready()
   }
 
   async start (wanted: HostWanted): Promise<HostId> {
     if (wanted.reclaimable && this.faults.refuseIn.has(wanted.failureDomain)) {
-      throw new CloudError(`Cannot start host: none free in ${wanted.failureDomain}`, { refused: true })
+      throw new CloudError(`Cannot start host: no capacity in ${wanted.failureDomain}`, { refused: true })
     }
     const hostClass = this.#options.classes.find((cls) => cls.name === wanted.hostClass)
-    if (!hostClass) throw new CloudError(`Cannot start host: no class ${wanted.hostClass}`, { refused: true })
-    return await this.#boot(wanted, hostClass)
+    if (!hostClass) throw new CloudError(`Cannot start host: unknown host class ${wanted.hostClass}`, { refused: true })
+    return await this.#addHost(wanted, hostClass)
   }
 
   async stop (id: HostId): Promise<void> {
     const host = this.#hosts.get(id)
     if (!host || host.stoppedAtMs !== undefined) return
     host.stoppedAtMs = Date.now()
-    host.endpoint.die()
-    this.#record()
+    host.endpoint.terminate()
+    this.#recordHostList()
     await host.close()
   }
 
-  /** Reclaims hosts with notice; they refuse new work at once and are gone when it ends. */
+  /** Reclaims hosts: they refuse new work immediately and are stopped after `noticeMs`. */
   reclaim (ids: readonly HostId[], noticeMs: number): void {
     const goneAtMs = Date.now() + noticeMs
     for (const id of ids) {
@@ -94,41 +94,41 @@
       host.endpoint.faults.refuse = true
     }
     this.#notices.push({ serial: ++this.#serial, hosts: [...ids], goneAtMs })
-    this.#record()
+    this.#recordHostList()
     for (const wake of [...this.#waiting]) wake()
     setTimeout(() => ids.forEach((id) => { this.stop(id) }), noticeMs)
   }
 
-  /** Hosts of a failure domain that run. */
+  /** Returns the running hosts of a failure domain. */
   hostsIn (domain: string): HostId[] {
     return this.live().filter((host) => host.failureDomain === domain).map((host) => host.hostId)
   }
 
-  /** Hosts that run, as they are, without the lag. */
+  /** Returns the running hosts in their current state, without the delay of the host list. */
   live (): ListedHost[] {
     return [...this.#hosts.values()].filter((host) => host.stoppedAtMs === undefined).map((host) => host.listed)
   }
 
-  /** The endpoint on a host. */
+  /** Returns the endpoint on a host. */
   endpoint (id: HostId): StandInEngine | StandInService {
     return this.#hosts.get(id)!.endpoint
   }
 
-  /** The endpoint at an address. */
+  /** Returns the endpoint at an address. */
   at (address: string): StandInEngine | StandInService | undefined {
     return [...this.#hosts.values()].find((host) => host.listed.endpoint.address === address)?.endpoint
   }
 
-  /** Money spent on hosts until now. */
+  /** Returns the accumulated price of all hosts up to now. */
   cost (): number {
     const now = Date.now()
     return [...this.#hosts.values()].reduce((sum, host) => sum + host.listed.pricePerHour * ((host.stoppedAtMs ?? now) - host.startedAtMs) / MS_PER_HOUR, 0)
   }
 
-  async #boot (wanted: HostWanted, hostClass: HostClass): Promise<HostId> {
+  async #addHost (wanted: HostWanted, hostClass: HostClass): Promise<HostId> {
     const hostId = as<HostId>(`host-${wanted.failureDomain}-${this.#hosts.size + 1}`)
     const id = `${wanted.pool}-${hostId}`
-    const endpoint = this.#make(id, wanted.pool, hostClass.speed)
+    const endpoint = this.#createEndpoint(id, wanted.pool, hostClass.speed)
     const published = await this.#options.publish?.(endpoint) ?? { url: id, close: async () => {} }
     const listed: ListedHost = {
       hostId,
@@ -140,11 +140,11 @@
       endpoint: { id: as(id), pool: wanted.pool, address: published.url, speed: hostClass.speed }
     }
     this.#hosts.set(hostId, { listed, endpoint, close: published.close, startedAtMs: Date.now(), stoppedAtMs: undefined })
-    this.#record()
+    this.#recordHostList()
     return hostId
   }
 
-  #make (id: string, pool: PoolName, speed: EndpointSpeed): StandInEngine | StandInService {
+  #createEndpoint (id: string, pool: PoolName, speed: EndpointSpeed): StandInEngine | StandInService {
     const { ledger, serviceLatencyMs } = this.#options
     const latencyMs = serviceLatencyMs.get(pool)
     if (latencyMs !== undefined) return new StandInService({ ledger, latencyMs })
@@ -155,12 +155,12 @@
     return new StandInEngine({ address: id, speed, ledger, peers })
   }
 
-  #record (): void {
-    this.#history.push({ atMs: Date.now(), hosts: this.live() })
-    this.#history = this.#history.slice(-50)
+  #recordHostList (): void {
+    this.#hostListHistory.push({ atMs: Date.now(), hosts: this.live() })
+    this.#hostListHistory = this.#hostListHistory.slice(-50)
   }
 
-  #wait (ms: number): Promise<void> {
+  #waitForNotice (ms: number): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
         clearTimeout(timer)
--- a/standins/cloud_api.ts
+++ b/standins/cloud_api.ts
@@ -1,10 +1,10 @@
-/** The stand-in cloud behind the platform's HTTP interface. */
+/** HTTP server for the platform's cloud API. */
 import Router from '@koa/router'
 import { CloudError, type Cloud, type HostWanted } from '../endpoints/index.ts'
 import type { HostId } from '../core/ids/index.ts'
-import { application, readJson, serve, type Listening } from './_serve.ts'
+import { createApplication, readJson, serve, type Listening } from './_serve.ts'
 
-/** Serves a cloud over HTTP. */
+/** Serves a cloud over the HTTP interface of the platform. */
 export async function serveCloudApi (cloud: Cloud, port = 0): Promise<Listening> {
   const router = new Router()
   router.get('/hosts', async (ctx) => { ctx.body = await cloud.hosts() })
@@ -15,7 +15,7 @@
     await cloud.stop(ctx.params.id as HostId)
     ctx.body = {}
   })
-  const app = application(router, (ctx, err) => {
+  const app = createApplication(router, (ctx, err) => {
     ctx.status = err instanceof CloudError && err.refused ? 409 : 500
     ctx.body = { error: (err as Error).message }
   })
--- a/standins/endpoint_api.ts
+++ b/standins/endpoint_api.ts
@@ -1,22 +1,22 @@
-/** The stand-in engine and service behind their HTTP interfaces. */
+/** HTTP servers for the stand-in engine and the stand-in service. */
 import type { ServerResponse } from 'node:http'
 import Router from '@koa/router'
 import type { Context } from 'koa'
 import { AttemptError } from '../core/outcome/index.ts'
 import type { EngineOrder, StreamSink, StreamSpec } from '../endpoints/index.ts'
-import { application, readJson, serve, type Listening } from './_serve.ts'
+import { createApplication, readJson, serve, type Listening } from './_serve.ts'
 import type { StandInEngine } from './engine.ts'
 import type { StandInService } from './service.ts'
 
-/** Serves one engine over HTTP, streams as server-sent events. */
+/** Serves one engine over HTTP; streams are sent as server-sent events. */
 export async function serveEngine (engine: StandInEngine): Promise<Listening> {
   const router = new Router()
   router.post('/streams', async (ctx) => {
     const spec = await readJson(ctx.req) as StreamSpec
-    stream(ctx, (sink) => engine.start(spec, sink))
+    sendStream(ctx, (sink) => engine.start(spec, sink))
   })
   router.get('/streams/:id', (ctx) => {
-    stream(ctx, (sink) => engine.resume(ctx.params.id!, Number(ctx.query.from), sink))
+    sendStream(ctx, (sink) => engine.resume(ctx.params.id!, Number(ctx.query.from), sink))
   })
   router.delete('/streams/:id', async (ctx) => { ctx.body = await engine.cancel(ctx.params.id!, Number(ctx.query.from)) })
   router.post('/streams/:id/export', async (ctx) => {
@@ -29,7 +29,7 @@
     await engine.order(await readJson(ctx.req) as EngineOrder)
     ctx.body = {}
   })
-  return await serve(application(router, onFailure))
+  return await serve(createApplication(router, onFailure))
 }
 
 /** Serves one plain service over HTTP. */
@@ -39,22 +39,22 @@
     const { input } = await readJson(ctx.req) as { input: string }
     ctx.body = { answer: await service.call({ requestId: ctx.get('x-request-id'), input, timeoutMs: 0 }) }
   })
-  return await serve(application(router, onFailure))
+  return await serve(createApplication(router, onFailure))
 }
 
 function onFailure (ctx: Context, err: unknown): void {
   ctx.respond = false
-  refuse(ctx.res, err)
+  sendError(ctx.res, err)
 }
 
-function stream (ctx: Context, open: (sink: StreamSink) => { detach (): void }): void {
+function sendStream (ctx: Context, open: (sink: StreamSink) => { detach (): void }): void {
   ctx.respond = false
   const { res } = ctx
-  const begin = () => {
+  const ensureHeaders = () => {
     if (!res.headersSent) res.writeHead(200, { 'content-type': 'text/event-stream' })
   }
   const send = (event: string, data: unknown) => {
-    begin()
+    ensureHeaders()
     res.write(`event: ${event}\ndata: ${JSON.stringify(data)}\n\n`)
   }
   const attachment = open({
@@ -66,14 +66,14 @@
     },
     onError: (err) => {
       if (res.headersSent) res.destroy()
-      else refuse(res, err)
+      else sendError(res, err)
     }
   })
   res.on('close', () => attachment.detach())
 }
 
-/** A dead or silent endpoint cuts the connection; a refusal says that nothing ran. */
-function refuse (res: ServerResponse, err: unknown): void {
+/** Maps an error to a response: a refusal reports that nothing ran, an unreachable or unresponsive endpoint closes the connection. */
+function sendError (res: ServerResponse, err: unknown): void {
   const point = err instanceof AttemptError ? err.point : 'endpoint-error'
   if (point === 'endpoint-said-not-run' || point === 'endpoint-leaving') {
     res.writeHead(503, { 'x-outcome': point === 'endpoint-leaving' ? 'leaving' : 'not-run' }).end()
--- a/standins/engine.ts
+++ b/standins/engine.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a model engine: continuous batching, prefix cache, KV export and import, on the runtime's clock. */
+/** Stand-in for a model engine with continuous batching, a prefix cache, and KV cache export and import; uses the timers of the runtime. */
 import { AttemptError } from '../core/outcome/index.ts'
 import type { EndpointLoad, EndpointSpeed } from '../core/routing/index.ts'
 import { estimateTokens } from '../core/work/index.ts'
@@ -6,17 +6,17 @@
 import { answerToken } from './answers.ts'
 import type { Ledger } from './ledger.ts'
 
-/** Faults and states, all off at first. */
+/** Injectable faults and states, all disabled by default. */
 export interface EngineFaults {
   /** Refuses new streams, as a host that is leaving does. */
   refuse: boolean
-  /** Does not answer cancel orders. */
+  /** Leaves cancel requests unanswered: they fail with a timeout. */
   ignoreCancel: boolean
-  /** Exports that will fail half way. */
+  /** Number of upcoming KV exports that fail during the transfer. */
   failExports: number
-  /** Chunks that will be sent twice. */
+  /** Number of upcoming chunks that are sent twice. */
   doubleChunks: number
-  /** Takes orders with an old fencing number. */
+  /** Accepts orders with an outdated fencing token. */
   ignoreFencing: boolean
 }
 
@@ -25,13 +25,13 @@
   address: string
   speed: EndpointSpeed
   ledger: Ledger
-  /** Finds another engine for a KV export. */
+  /** Looks up the target engine of a KV export by address. */
   peers: (address: string) => StandInEngine | undefined
-  /** Prompt tokens that the prefix cache holds. Default 60,000. */
+  /** Capacity of the prefix cache in prompt tokens. Default 60,000. */
   cacheTokens?: number
 }
 
-interface Running {
+interface EngineStream {
   spec: StreamSpec
   sink: StreamSink | undefined
   produced: number
@@ -39,38 +39,38 @@
   phase: 'queued' | 'decoding' | 'exporting'
 }
 
-/** KV cache of a stream while it is moved. */
-interface Import { work: string, kvTokens: number }
+/** KV cache received from another engine, not yet claimed by a stream. */
+interface ImportedKv { work: string, kvTokens: number }
 
-/** One engine. */
+/** In-memory model engine. */
 export class StandInEngine implements ModelEngine {
   readonly faults: EngineFaults = { refuse: false, ignoreCancel: false, failExports: 0, doubleChunks: 0, ignoreFencing: false }
   readonly address: string
   readonly #options: StandInEngineOptions
-  readonly #streams = new Map<string, Running>()
-  readonly #imports = new Map<string, Import>()
-  readonly #cache = new Map<string, number>()
+  readonly #streams = new Map<string, EngineStream>()
+  readonly #importedKv = new Map<string, ImportedKv>()
+  readonly #prefixCache = new Map<string, number>()
   #prefilling = false
   #exportsFreeAtMs = 0
   #stepTimer: NodeJS.Timeout | undefined
-  #dead = false
+  #terminated = false
   #order: EngineOrder | undefined
   #refusedAtMs: number[] = []
-  #taken = 0
+  #acceptedCount = 0
 
   constructor (options: StandInEngineOptions) {
     this.#options = options
     this.address = options.address
   }
 
-  /** Streams the engine holds. */
+  /** Number of open streams, queued ones included. */
   get running (): number { return this.#streams.size }
-  /** Streams that the engine took. */
-  get taken (): number { return this.#taken }
-  /** When new streams were refused because the host is leaving, in milliseconds since the epoch. */
+  /** Number of streams accepted since the start. */
+  get acceptedCount (): number { return this.#acceptedCount }
+  /** Times at which new streams were refused because the host is leaving, in milliseconds since the epoch. */
   get refusedAtMs (): readonly number[] { return this.#refusedAtMs }
-  /** False once the host is gone. */
-  get alive (): boolean { return !this.#dead }
+  /** False once the host has been stopped. */
+  get alive (): boolean { return !this.#terminated }
 
   start (spec: StreamSpec, sink: StreamSink): Attachment {
     const refusal = this.#refusal(spec)
@@ -78,19 +78,19 @@
       queueMicrotask(() => sink.onError(refusal))
       return { detach () {} }
     }
-    const stream: Running = { spec, sink, produced: spec.done.length, sent: spec.done.length, phase: 'queued' }
+    const stream: EngineStream = { spec, sink, produced: spec.done.length, sent: spec.done.length, phase: 'queued' }
     this.#streams.set(spec.streamId, stream)
-    this.#taken++
-    if (spec.kvHandle !== undefined) this.#takeImport(stream)
+    this.#acceptedCount++
+    if (spec.kvHandle !== undefined) this.#startFromImport(stream)
     else this.#prefillNext()
     return this.#attachment(stream)
   }
 
   resume (streamId: string, from: number, sink: StreamSink): Attachment {
     const stream = this.#streams.get(streamId)
-    if (this.#dead || !stream) {
-      const point = this.#dead ? 'connect-refused' : 'endpoint-error'
-      queueMicrotask(() => sink.onError(new AttemptError('Cannot resume stream: it is not here', { point })))
+    if (this.#terminated || !stream) {
+      const point = this.#terminated ? 'connect-refused' : 'endpoint-error'
+      queueMicrotask(() => sink.onError(new AttemptError('Cannot resume stream: unknown stream', { point })))
       return { detach () {} }
     }
     stream.sink?.onError(new AttemptError('Cannot read stream: another reader resumed it', { point: 'reset-after-send' }))
@@ -101,7 +101,7 @@
   }
 
   async cancel (streamId: string, from: number): Promise<StopReport> {
-    if (this.#dead || this.faults.ignoreCancel) throw new AttemptError('Cannot cancel stream: no answer', { point: 'timeout-after-send' })
+    if (this.#terminated || this.faults.ignoreCancel) throw new AttemptError('Cannot cancel stream: no answer', { point: 'timeout-after-send' })
     const stream = this.#streams.get(streamId)
     if (!stream) return { stopped: true, pieces: [] }
     this.#streams.delete(streamId)
@@ -112,7 +112,7 @@
     const stream = this.#streams.get(streamId)
     const target = this.#options.peers(toAddress)
     if (!stream || stream.phase !== 'decoding' || !target || !target.alive) {
-      throw new AttemptError('Cannot export KV cache: stream or target is not there', { point: 'endpoint-said-not-run' })
+      throw new AttemptError('Cannot export KV cache: stream is not decoding or target is unavailable', { point: 'endpoint-said-not-run' })
     }
     stream.phase = 'exporting'
     const kvTokens = estimateTokens(stream.spec.prompt) + stream.produced
@@ -123,13 +123,13 @@
   }
 
   async load (): Promise<EndpointLoad> {
-    if (this.#dead) throw new AttemptError('Cannot read load: connection refused', { point: 'connect-refused' })
+    if (this.#terminated) throw new AttemptError('Cannot read load: connection refused', { point: 'connect-refused' })
     return this.#load()
   }
 
   async order (order: EngineOrder): Promise<void> {
-    const old = this.#order !== undefined && order.fencing < this.#order.fencing
-    if (old && !this.faults.ignoreFencing) throw new AttemptError('Cannot take order: fencing number is old', { point: 'endpoint-said-not-run' })
+    const outdated = this.#order !== undefined && order.fencing < this.#order.fencing
+    if (outdated && !this.faults.ignoreFencing) throw new AttemptError('Cannot take order: fencing number is old', { point: 'endpoint-said-not-run' })
     this.#order = order
   }
 
@@ -137,49 +137,49 @@
     return this.#order
   }
 
-  /** The host is gone: every stream breaks and nothing connects. */
-  die (): void {
-    this.#dead = true
+  /** Simulates the loss of the host: open streams are reset and new connections are refused. */
+  terminate (): void {
+    this.#terminated = true
     clearTimeout(this.#stepTimer)
     for (const stream of this.#streams.values()) stream.sink?.onError(new AttemptError('Cannot read stream: connection reset', { point: 'reset-after-send' }))
     this.#streams.clear()
   }
 
   #refusal (spec: StreamSpec): AttemptError | undefined {
-    if (this.#dead) return new AttemptError('Cannot start stream: connection refused', { point: 'connect-refused' })
+    if (this.#terminated) return new AttemptError('Cannot start stream: connection refused', { point: 'connect-refused' })
     if (this.faults.refuse) {
       this.#refusedAtMs.push(Date.now())
       return new AttemptError('Cannot start stream: host is leaving', { point: 'endpoint-leaving' })
     }
-    if (spec.kvHandle !== undefined && !this.#imports.has(spec.kvHandle)) {
-      return new AttemptError('Cannot start stream: no such KV cache', { point: 'endpoint-said-not-run' })
+    if (spec.kvHandle !== undefined && !this.#importedKv.has(spec.kvHandle)) {
+      return new AttemptError('Cannot start stream: unknown KV cache handle', { point: 'endpoint-said-not-run' })
     }
     return undefined
   }
 
-  #takeImport (stream: Running): void {
-    this.#imports.delete(stream.spec.kvHandle!)
+  #startFromImport (stream: EngineStream): void {
+    this.#importedKv.delete(stream.spec.kvHandle!)
     stream.phase = 'decoding'
-    this.#remember(stream.spec.prompt)
-    this.#schedule()
+    this.#cachePrefix(stream.spec.prompt)
+    this.#scheduleStep()
   }
 
-  #finishExport (stream: Running, target: StandInEngine, kvTokens: number): string {
-    if (this.#dead || !this.#streams.has(stream.spec.streamId)) throw new AttemptError('Cannot export KV cache: stream ended meanwhile', { point: 'reset-after-send' })
+  #finishExport (stream: EngineStream, target: StandInEngine, kvTokens: number): string {
+    if (this.#terminated || !this.#streams.has(stream.spec.streamId)) throw new AttemptError('Cannot export KV cache: stream ended during the transfer', { point: 'reset-after-send' })
     if (this.faults.failExports > 0 || !target.alive) {
       this.faults.failExports = Math.max(0, this.faults.failExports - 1)
       stream.phase = 'decoding'
-      this.#schedule()
-      throw new AttemptError('Cannot export KV cache: transfer broke', { point: 'endpoint-said-not-run' })
+      this.#scheduleStep()
+      throw new AttemptError('Cannot export KV cache: transfer failed', { point: 'endpoint-said-not-run' })
     }
     this.#streams.delete(stream.spec.streamId)
     const handle = `kv-${stream.spec.streamId}`
-    target.#imports.set(handle, { work: stream.spec.prompt, kvTokens })
+    target.#importedKv.set(handle, { work: stream.spec.prompt, kvTokens })
     return handle
   }
 
   async #prefillNext (): Promise<void> {
-    if (this.#prefilling || this.#dead) return
+    if (this.#prefilling || this.#terminated) return
     const next = this.#nextQueued()
     if (!next) return
     this.#prefilling = true
@@ -187,25 +187,25 @@
     const tokens = Math.max(0, kvTokens - this.#cachedTokens(next.spec.prompt))
     await new Promise((resolve) => setTimeout(resolve, tokens * 1000 / this.#options.speed.prefillTokensPerS))
     this.#prefilling = false
-    if (this.#dead) return
+    if (this.#terminated) return
     if (this.#streams.get(next.spec.streamId) === next) {
-      this.#options.ledger.computed(next.spec.prompt, tokens, kvTokens)
-      this.#remember(next.spec.prompt)
+      this.#options.ledger.recordComputed(next.spec.prompt, tokens, kvTokens)
+      this.#cachePrefix(next.spec.prompt)
       next.phase = 'decoding'
-      this.#schedule()
+      this.#scheduleStep()
     }
     this.#prefillNext()
   }
 
-  #nextQueued (): Running | undefined {
+  #nextQueued (): EngineStream | undefined {
     const decoding = [...this.#streams.values()].filter((stream) => stream.phase !== 'queued').length
     if (decoding >= this.#options.speed.batchSlots) return undefined
     const queued = [...this.#streams.values()].filter((stream) => stream.phase === 'queued')
     return queued.sort((a, b) => b.spec.priority - a.spec.priority)[0]
   }
 
-  #schedule (): void {
-    if (this.#stepTimer !== undefined || this.#dead) return
+  #scheduleStep (): void {
+    if (this.#stepTimer !== undefined || this.#terminated) return
     const decoding = [...this.#streams.values()].filter((stream) => stream.phase === 'decoding').length
     if (decoding === 0) return
     const ms = this.#options.speed.betweenTokensMs + this.#options.speed.betweenTokensPerStreamMs * decoding
@@ -217,22 +217,22 @@
     for (const stream of this.#streams.values()) {
       if (stream.phase === 'decoding') this.#produce(stream)
     }
-    this.#schedule()
+    this.#scheduleStep()
     this.#prefillNext()
   }
 
-  #produce (stream: Running): void {
+  #produce (stream: EngineStream): void {
     const { spec } = stream
     if (stream.produced < spec.maxTokens) {
-      if (stream.produced === 0) this.#options.ledger.executed(spec.prompt)
+      if (stream.produced === 0) this.#options.ledger.recordExecution(spec.prompt)
       stream.produced++
       const kvTokens = estimateTokens(spec.prompt) + stream.produced
-      this.#options.ledger.computed(spec.prompt, 1, kvTokens)
+      this.#options.ledger.recordComputed(spec.prompt, 1, kvTokens)
     }
     this.#send(stream)
   }
 
-  #send (stream: Running): void {
+  #send (stream: EngineStream): void {
     if (!stream.sink) return
     const tokens = tokensOf(stream, stream.sent, stream.produced)
     const offset = stream.sent
@@ -248,7 +248,7 @@
     stream.sink?.onEnd(stream.spec.maxTokens)
   }
 
-  #attachment (stream: Running): Attachment {
+  #attachment (stream: EngineStream): Attachment {
     const sink = stream.sink
     return {
       detach: () => {
@@ -267,27 +267,27 @@
 
   #cachedTokens (prompt: string): number {
     let best = 0
-    for (const cached of this.#cache.keys()) {
+    for (const cached of this.#prefixCache.keys()) {
       if (prompt.startsWith(cached)) best = Math.max(best, estimateTokens(cached))
     }
     return best
   }
 
-  /** Keeps the shared first half of a prompt, oldest out first. */
-  #remember (prompt: string): void {
+  /** Caches the first half of a prompt, which other prompts may share; evicts the least recently added prefixes first. */
+  #cachePrefix (prompt: string): void {
     const prefix = prompt.slice(0, Math.floor(prompt.length / 2))
-    this.#cache.delete(prefix)
-    this.#cache.set(prefix, estimateTokens(prefix))
-    let held = [...this.#cache.values()].reduce((sum, tokens) => sum + tokens, 0)
-    for (const [oldest, tokens] of this.#cache) {
-      if (held <= (this.#options.cacheTokens ?? 60_000)) return
-      this.#cache.delete(oldest)
-      held -= tokens
+    this.#prefixCache.delete(prefix)
+    this.#prefixCache.set(prefix, estimateTokens(prefix))
+    let total = [...this.#prefixCache.values()].reduce((sum, tokens) => sum + tokens, 0)
+    for (const [oldest, tokens] of this.#prefixCache) {
+      if (total <= (this.#options.cacheTokens ?? 60_000)) return
+      this.#prefixCache.delete(oldest)
+      total -= tokens
     }
   }
 }
 
-function tokensOf (stream: Running, from: number, to: number): string[] {
+function tokensOf (stream: EngineStream, from: number, to: number): string[] {
   const tokens: string[] = []
   for (let i = from; i < to; i++) tokens.push(answerToken(stream.spec.prompt, i))
   return tokens
--- a/standins/ledger.ts
+++ b/standins/ledger.ts
@@ -1,55 +1,55 @@
-/** Counts what really ran, apart from the product: executions, recomputed tokens, lost, doubled and crossed answers. */
+/** Ground truth recorded independently of the daemons: executions, recomputed tokens, and lost, duplicate or mixed-up answers. */
 
-/** Totals at the end of a session. */
+/** Totals at the end of a session: `doubled` counts once-only work that ran twice, `crossed` counts incomplete or foreign answers. */
 export interface LedgerTotals { lost: number, doubled: number, crossed: number, recomputedTokens: number }
 
-/** Written by the stand-in endpoints and callers, read at the end of a session. */
+/** Records events reported by stand-in endpoints and callers, and totals them at the end of a session. */
 export class Ledger {
   readonly #executions = new Map<string, number>()
-  readonly #computed = new Map<string, number>()
+  readonly #computedTokens = new Map<string, number>()
   readonly #mustRunOnce = new Set<string>()
-  readonly #saidNotRun: string[] = []
+  readonly #reportedNotRun: string[] = []
   #recomputedTokens = 0
   #lost = 0
   #crossed = 0
 
-  /** A caller names the work that must not run twice. */
+  /** Marks work that must not run twice. */
   expectOnce (work: string): void {
     this.#mustRunOnce.add(work)
   }
 
-  /** An endpoint began the work from its start. */
-  executed (work: string): void {
+  /** Records that an endpoint started the work from the beginning. */
+  recordExecution (work: string): void {
     this.#executions.set(work, this.executions(work) + 1)
   }
 
-  /** Times the work began from its start. */
+  /** Returns how often the work was started from the beginning. */
   executions (work: string): number {
     return this.#executions.get(work) ?? 0
   }
 
-  /** An engine computed `tokens` so that `kvTokens` of the work's KV cache exist; what was there before is recomputed work. */
-  computed (work: string, tokens: number, kvTokens: number): void {
-    const before = this.#computed.get(work) ?? 0
+  /** Records that an engine computed `tokens`, extending the KV cache of the work to `kvTokens`. Tokens that had been computed before count as recomputed. */
+  recordComputed (work: string, tokens: number, kvTokens: number): void {
+    const before = this.#computedTokens.get(work) ?? 0
     const firstTime = Math.max(0, kvTokens - before)
     this.#recomputedTokens += Math.max(0, tokens - firstTime)
-    this.#computed.set(work, Math.max(before, kvTokens))
+    this.#computedTokens.set(work, Math.max(before, kvTokens))
   }
 
-  /** A caller was told `not-run`. */
+  /** Records that a caller received the outcome `not-run`. */
   toldNotRun (work: string): void {
-    this.#saidNotRun.push(work)
+    this.#reportedNotRun.push(work)
   }
 
-  /** A caller whose accepted request got no final word. */
+  /** Records an accepted request that never got a final result. */
   lost (): void { this.#lost++ }
 
-  /** A caller given a torn answer or another's. */
+  /** Records an incomplete answer, or one that belongs to another request. */
   crossed (): void { this.#crossed++ }
 
-  /** Work told `not-run` that ran all the same. */
+  /** Work that was reported as `not-run` but did run. */
   get falselyNotRun (): string[] {
-    return this.#saidNotRun.filter((work) => this.executions(work) > 0)
+    return this.#reportedNotRun.filter((work) => this.executions(work) > 0)
   }
 
   totals (): LedgerTotals {
--- a/standins/network.ts
+++ b/standins/network.ts
@@ -1,65 +1,65 @@
-/** Stand-in for the connections between daemons, in memory, with cuts. */
+/** In-memory stand-in for the connections between daemons, with network partitions. */
 import { setMaxListeners } from 'node:events'
 import type { DaemonId } from '../core/ids/index.ts'
 import type { Gossip } from '../core/membership/index.ts'
 import { PeerError, type CallOptions, type ConnectResult, type LinkEvents, type Links, type PeerMethod, type PostHandler } from '../daemon/peers/links.ts'
 
 const CALL_TIMEOUT_MS = 3000
-/** Silence after which a link counts as broken. */
-const SILENCE_MS = 5000
+/** Time without traffic after which calls over a partitioned link fail. */
+const LINK_TIMEOUT_MS = 5000
 
-/** All daemons of one session. */
+/** Network that connects the daemons of one session. */
 export class StandInNetwork {
   readonly latencyMs: number
   readonly #nodes = new Map<string, StandInLinks>()
-  readonly #cut = new Set<string>()
+  readonly #partitions = new Set<string>()
   readonly #calls = new Map<string, Set<() => void>>()
 
   constructor (options: { latencyMs?: number } = {}) {
     this.latencyMs = options.latencyMs ?? 1
   }
 
-  /** Links for one daemon. */
+  /** Creates the links of one daemon. */
   join (id: DaemonId): StandInLinks {
     return new StandInLinks(id, this)
   }
 
-  /** Parts two daemons, or joins them again. */
+  /** Partitions two daemons from each other, or reconnects them. */
   part (a: DaemonId, b: DaemonId, cut: boolean): void {
-    const key = pairOf(a, b)
+    const key = pairKey(a, b)
     if (!cut) {
-      this.#cut.delete(key)
+      this.#partitions.delete(key)
       return
     }
-    this.#cut.add(key)
+    this.#partitions.add(key)
     const calls = [...this.#calls.get(key) ?? []]
-    setTimeout(() => calls.forEach((lose) => lose()), SILENCE_MS)
+    setTimeout(() => calls.forEach((fail) => fail()), LINK_TIMEOUT_MS)
   }
 
-  /** Registers a call between two daemons, to be lost when they are parted; returns a function that takes it out. */
-  calling (a: DaemonId, b: DaemonId, lose: () => void): () => void {
-    const key = pairOf(a, b)
+  /** Tracks a call between two daemons so that it fails when they are partitioned; returns a function that stops tracking. */
+  trackCall (a: DaemonId, b: DaemonId, lose: () => void): () => void {
+    const key = pairKey(a, b)
     const calls = this.#calls.get(key) ?? new Set()
     this.#calls.set(key, calls.add(lose))
     return () => { calls.delete(lose) }
   }
 
-  /** Joins everybody again. */
+  /** Removes all partitions. */
   heal (): void {
-    this.#cut.clear()
+    this.#partitions.clear()
   }
 
   register (address: string, node: StandInLinks): void { this.#nodes.set(address, node) }
   remove (address: string): void { this.#nodes.delete(address) }
 
-  /** The node at an address, when it can be reached. */
+  /** Returns the node at an address if it is reachable from the given daemon. */
   reach (from: DaemonId, address: string): StandInLinks | undefined {
     const node = this.#nodes.get(address)
-    return node && !this.#cut.has(pairOf(from, node.id)) ? node : undefined
+    return node && !this.#partitions.has(pairKey(from, node.id)) ? node : undefined
   }
 }
 
-/** Links of one daemon. */
+/** In-memory links of one daemon. */
 export class StandInLinks implements Links {
   readonly id: DaemonId
   readonly #network: StandInNetwork
@@ -71,12 +71,12 @@
   #keep: readonly string[] = []
   #linked = new Set<string>()
   #closed = false
-  readonly #gone = new AbortController()
+  readonly #closeController = new AbortController()
 
   constructor (id: DaemonId, network: StandInNetwork) {
     this.id = id
     this.#network = network
-    setMaxListeners(0, this.#gone.signal)
+    setMaxListeners(0, this.#closeController.signal)
   }
 
   bind (events: LinkEvents): void { this.#events = events }
@@ -94,7 +94,7 @@
     this.tend()
   }
 
-  /** A link is up while both ends are there and not parted. */
+  /** Drops links whose peer is absent or partitioned off, and establishes the missing ones. */
   tend (): void {
     for (const address of this.#keep) {
       const peer = this.#network.reach(this.id, address)
@@ -106,10 +106,10 @@
   gossip (to: DaemonId, gossip: Gossip): void {
     const address = this.#addresses.get(to)
     if (address === undefined) return
-    const text = structuredClone(gossip)
-    this.#later(() => {
+    const copy = structuredClone(gossip)
+    this.#afterLatency(() => {
       const peer = this.#network.reach(this.id, address)
-      if (peer && !this.#closed) peer.#take(this, text)
+      if (peer && !this.#closed) peer.#receiveGossip(this, copy)
     })
   }
 
@@ -124,7 +124,7 @@
     const address = this.#addresses.get(to)
     if (address === undefined || !this.#network.reach(this.id, address)) return false
     const copy = structuredClone(value)
-    this.#later(() => {
+    this.#afterLatency(() => {
       const peer = this.#network.reach(this.id, address)
       if (peer && !this.#closed && !peer.#closed) peer.#posts.get(topic)?.(copy as never, this.id)
     })
@@ -144,21 +144,21 @@
     return await new Promise((resolve, reject) => {
       const timer = setTimeout(() => { done(); reject(new PeerError('Cannot ask daemon: no answer', { notSent: false })) }, options.timeoutMs ?? CALL_TIMEOUT_MS)
       const lost = () => { done(); reject(new PeerError('Cannot ask daemon: connection lost', { notSent: false })) }
-      const stop = this.#network.calling(this.id, peer.id, lost)
+      const stop = this.#network.trackCall(this.id, peer.id, lost)
       const done = () => { clearTimeout(timer); stop() }
-      peer.#gone.signal.addEventListener('abort', lost, { once: true })
+      peer.#closeController.signal.addEventListener('abort', lost, { once: true })
       const connected = () => !this.#closed && this.#network.reach(this.id, to.address) !== undefined
-      const part = (value: unknown) => { const copy = structuredClone(value); this.#later(() => { if (connected()) options.part?.(copy) }) }
-      const settle = (act: () => void) => this.#later(() => {
+      const part = (value: unknown) => { const copy = structuredClone(value); this.#afterLatency(() => { if (connected()) options.part?.(copy) }) }
+      const settle = (act: () => void) => this.#afterLatency(() => {
         if (!connected()) return
         done()
         act()
       })
       const copy = structuredClone(args)
-      this.#later(() => {
+      this.#afterLatency(() => {
         const answer = peer.#methods.get(method)
         if (!connected() || !answer) return
-        answer(copy as never, { from: this.id, part, signal: this.#gone.signal })
+        answer(copy as never, { from: this.id, part, signal: this.#closeController.signal })
           .then((value) => settle(() => resolve(structuredClone(value))), (err: Error) => settle(() => reject(new PeerError(err.message, { notSent: false }))))
       })
     })
@@ -167,30 +167,30 @@
   async close (): Promise<void> {
     this.#closed = true
     this.#network.remove(this.#address)
-    this.#gone.abort()
+    this.#closeController.abort()
   }
 
   #link (address: string, peer: StandInLinks): void {
     this.#linked.add(address)
     this.#addresses.set(peer.id, address)
     peer.#addresses.set(this.id, this.#address)
-    this.#later(() => {
+    this.#afterLatency(() => {
       this.#events.onLink(peer.id)
       peer.#events.onLink(this.id)
     })
   }
 
-  #take (from: StandInLinks, gossip: Gossip): void {
+  #receiveGossip (from: StandInLinks, gossip: Gossip): void {
     if (this.#closed) return
     this.#addresses.set(from.id, from.#address)
     this.#events.onGossip(from.id, gossip)
   }
 
-  #later (act: () => void): void {
+  #afterLatency (act: () => void): void {
     setTimeout(act, this.#network.latencyMs)
   }
 }
 
-function pairOf (a: DaemonId, b: DaemonId): string {
+function pairKey (a: DaemonId, b: DaemonId): string {
   return [a, b].sort().join('|')
 }
--- a/standins/object_api.ts
+++ b/standins/object_api.ts
@@ -1,11 +1,11 @@
-/** The stand-in store behind the platform's HTTP interface. */
+/** HTTP server for the platform's object API. */
 import Router from '@koa/router'
 import { isStoreFailure, type ObjectStore } from '../store/index.ts'
-import { application, readText, serve, type Listening } from './_serve.ts'
+import { createApplication, readText, serve, type Listening } from './_serve.ts'
 
 const STATUS = { conflict: 412, 'not-applied': 503, unsure: 500, 'history-gone': 410 } as const
 
-/** Serves a store over HTTP. */
+/** Serves a store over the HTTP interface of the platform. */
 export async function serveObjectApi (store: ObjectStore, port = 0): Promise<Listening> {
   const router = new Router()
   router.get('/objects', async (ctx) => {
@@ -31,7 +31,7 @@
     const { prefix, after, waitMs } = ctx.query as Record<string, string>
     ctx.body = await store.changes(prefix ?? '', { after: Number(after), waitMs: Number(waitMs) })
   })
-  const app = application(router, (ctx, err) => {
+  const app = createApplication(router, (ctx, err) => {
     const failure = (['conflict', 'not-applied', 'unsure', 'history-gone'] as const).find((kind) => isStoreFailure(err, kind))
     ctx.status = failure ? STATUS[failure] : 400
     ctx.body = { error: (err as Error).message }
--- a/standins/raw_endpoint.ts
+++ b/standins/raw_endpoint.ts
@@ -1,19 +1,19 @@
-/** Stand-in for an endpoint that answers byte by byte, for answers that no proper server would give. */
+/** Stand-in endpoint that writes raw bytes to the socket, for malformed responses that an HTTP server would not produce. */
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net'
 
-/** A request as it came over the wire. */
+/** A request as received on the socket. */
 export interface RawRequest {
-  /** Request line and headers, without the empty line. */
+  /** Request line and headers, without the terminating blank line. */
   head: string
   body: Buffer
   socket: Socket
-  /** Number of the request on its connection, from 1. */
+  /** Position of the request on its connection, starting at 1. */
   nth: number
 }
 
 const HEAD_END = '\r\n\r\n'
 
-/** One endpoint; a function answers each request on its socket. */
+/** TCP server that passes each parsed request to a callback, which writes the response to the socket. */
 export class RawEndpoint {
   readonly requests: RawRequest[] = []
   readonly #server: Server
@@ -24,12 +24,12 @@
     this.#server = createServer((socket) => {
       this.#sockets.add(socket)
       socket.on('close', () => this.#sockets.delete(socket))
-      socket.on('error', () => { /* callers reset on purpose */ })
-      this.#read(socket, answer)
+      socket.on('error', () => { /* callers reset connections on purpose */ })
+      this.#parseRequests(socket, answer)
     })
   }
 
-  /** Connections open now. */
+  /** Number of open connections. */
   get connections (): number { return this.#sockets.size }
 
   async listen (): Promise<string> {
@@ -43,7 +43,7 @@
     await new Promise<void>((resolve) => this.#server.close(() => resolve()))
   }
 
-  #read (socket: Socket, answer: (req: RawRequest) => void): void {
+  #parseRequests (socket: Socket, answer: (req: RawRequest) => void): void {
     let bytes: Buffer = Buffer.alloc(0)
     let nth = 0
     socket.on('data', (chunk: Buffer) => {
--- a/standins/service.ts
+++ b/standins/service.ts
@@ -1,43 +1,43 @@
-/** Stand-in for a plain service: every call has an effect that must not happen twice. */
+/** Stand-in for a plain service whose calls have side effects that must not be repeated. */
 import { AttemptError } from '../core/outcome/index.ts'
 import type { PlainService, ServiceCall } from '../endpoints/index.ts'
 import { serviceAnswer } from './answers.ts'
 import type { Ledger } from './ledger.ts'
 
-/** Faults, all off at first. */
+/** Injectable faults, all disabled by default. */
 export interface ServiceFaults {
   refuse: boolean
-  /** Calls that will take effect without an answer. */
+  /** Number of upcoming calls that are executed but whose answer is lost. */
   loseAnswers: number
 }
 
-/** One plain service. */
+/** In-memory plain service that records every execution in the {@linkcode Ledger}. */
 export class StandInService implements PlainService {
   readonly faults: ServiceFaults = { refuse: false, loseAnswers: 0 }
   readonly #ledger: Ledger
   readonly #latencyMs: number
   readonly #pending = new Set<(err: AttemptError) => void>()
-  #dead = false
-  #taken = 0
+  #terminated = false
+  #acceptedCount = 0
 
   constructor (options: { ledger: Ledger, latencyMs: number }) {
     this.#ledger = options.ledger
     this.#latencyMs = options.latencyMs
   }
 
-  /** Calls in progress. */
+  /** Number of calls in progress. */
   get running (): number { return this.#pending.size }
-  /** Calls that the service took. */
-  get taken (): number { return this.#taken }
-  /** False once the host is gone. */
-  get alive (): boolean { return !this.#dead }
+  /** Number of calls accepted since the start. */
+  get acceptedCount (): number { return this.#acceptedCount }
+  /** False once the host has been stopped. */
+  get alive (): boolean { return !this.#terminated }
 
   async call (call: ServiceCall): Promise<string> {
-    if (this.#dead) throw new AttemptError('Cannot call service: connection refused', { point: 'connect-refused' })
+    if (this.#terminated) throw new AttemptError('Cannot call service: connection refused', { point: 'connect-refused' })
     if (this.faults.refuse) throw new AttemptError('Cannot call service: host is leaving', { point: 'endpoint-leaving' })
-    this.#ledger.executed(call.input)
-    this.#taken++
-    await this.#work()
+    this.#ledger.recordExecution(call.input)
+    this.#acceptedCount++
+    await this.#waitForCompletion()
     if (this.faults.loseAnswers > 0) {
       this.faults.loseAnswers--
       throw new AttemptError('Cannot call service: connection reset', { point: 'reset-after-send' })
@@ -45,14 +45,14 @@
     return serviceAnswer(call.input)
   }
 
-  /** The host is gone: calls in progress break. */
-  die (): void {
-    this.#dead = true
+  /** Simulates the loss of the host: calls in progress fail with a connection reset. */
+  terminate (): void {
+    this.#terminated = true
     for (const fail of this.#pending) fail(new AttemptError('Cannot call service: connection reset', { point: 'reset-after-send' }))
     this.#pending.clear()
   }
 
-  #work (): Promise<void> {
+  #waitForCompletion (): Promise<void> {
     return new Promise((resolve, reject) => {
       const timer = setTimeout(() => {
         this.#pending.delete(fail)
