--- a/bench/_batch_engine.ts
+++ b/bench/_batch_engine.ts
@@ -1,78 +1,78 @@
-/** A model engine in virtual time: batch slots, a short queue, prompts read one after the other by urgency. */
+/** Discrete-event model of an engine with batch slots, a bounded queue, and sequential prefill ordered by lane. */
 import { LANES, type Lane } from '../core/routing/index.ts'
 import type { PromptPart } from '../core/work/index.ts'
 
 /** Options of {@linkcode BatchEngine}. */
 export interface BatchEngineOptions {
   slots: number
-  /** Requests that wait for a slot; any beyond are refused. */
+  /** Maximum number of requests waiting for a slot; further requests are rejected. */
   queue: number
   readTokensPerMs: number
-  /** Beside reading, until the first piece, in milliseconds. */
+  /** Time from the end of prefill to the first piece, in milliseconds. */
   firstMs: number
-  /** Between two pieces of an empty engine, and what each request beside adds, in milliseconds. */
+  /** Interval between two pieces on an idle engine, and the increase per running request, in milliseconds. */
   pieceMs: number
   pieceMsPerRequest: number
 }
 
-/** One request at an engine. */
+/** A request submitted to an engine. */
 export interface EngineJob {
   lane: Lane
   parts: readonly PromptPart[]
   promptTokens: number
   pieces: number
-  onFirst (): void
+  onFirstPiece (): void
   onEnd (): void
 }
 
-/** One engine. Its clock is the runtime's, which the caller advances. */
+/** Simulated engine. Uses the timers of the runtime, so the caller must install and advance a fake clock. */
 export class BatchEngine {
   readonly #options: BatchEngineOptions
-  readonly #kept = new Set<string>()
-  readonly #waiting: EngineJob[] = []
-  readonly #unread: EngineJob[] = []
+  readonly #cachedParts = new Set<string>()
+  readonly #slotQueue: EngineJob[] = []
+  readonly #prefillQueue: EngineJob[] = []
   #running = 0
-  #reading = false
+  #prefilling = false
 
   constructor (options: BatchEngineOptions) {
     this.#options = options
   }
 
-  /** Whether it keeps a part of a prompt. */
-  keeps (key: string): boolean { return this.#kept.has(key) }
-  /** Requests that run or wait. */
-  get open (): number { return this.#running + this.#waiting.length }
+  /** Returns whether a prompt part is in the prefix cache. */
+  hasCached (key: string): boolean { return this.#cachedParts.has(key) }
+  /** Number of requests running or waiting for a slot. */
+  get open (): number { return this.#running + this.#slotQueue.length }
 
-  /** Takes a request; false when it is full, and nothing of it runs. */
-  take (job: EngineJob): boolean {
+  /** Accepts a request, or returns false without running any of it if the engine is full. */
+  trySubmit (job: EngineJob): boolean {
     if (this.open >= this.#options.slots + this.#options.queue) return false
-    this.#waiting.push(job)
+    this.#slotQueue.push(job)
     this.#admit()
     return true
   }
 
   #admit (): void {
-    while (this.#running < this.#options.slots && this.#waiting.length > 0) {
+    while (this.#running < this.#options.slots && this.#slotQueue.length > 0) {
       this.#running++
-      this.#unread.push(takeMostUrgent(this.#waiting))
-      this.#read()
+      this.#prefillQueue.push(removeMostUrgent(this.#slotQueue))
+      this.#prefillNext()
     }
   }
 
-  #read (): void {
-    if (this.#reading || this.#unread.length === 0) return
-    this.#reading = true
-    const job = takeMostUrgent(this.#unread)
+  #prefillNext (): void {
+    if (this.#prefilling || this.#prefillQueue.length === 0) return
+    this.#prefilling = true
+    const job = removeMostUrgent(this.#prefillQueue)
     setTimeout(() => {
-      this.#reading = false
-      for (const { key } of job.parts) this.#kept.add(key)
-      setTimeout(() => this.#write(job), this.#options.firstMs)
-      this.#read()
-    }, this.#uncached(job) / this.#options.readTokensPerMs)
+      this.#prefilling = false
+      for (const { key } of job.parts) this.#cachedParts.add(key)
+      setTimeout(() => this.#decode(job), this.#options.firstMs)
+      this.#prefillNext()
+    }, this.#uncachedTokens(job) / this.#options.readTokensPerMs)
   }
 
-  #write (job: EngineJob): void {
-    job.onFirst()
+  #decode (job: EngineJob): void {
+    job.onFirstPiece()
     const { pieceMs, pieceMsPerRequest } = this.#options
     setTimeout(() => {
       this.#running--
@@ -81,12 +81,12 @@
     }, (job.pieces - 1) * (pieceMs + pieceMsPerRequest * this.#running))
   }
 
-  #uncached ({ parts, promptTokens }: EngineJob): number {
-    return promptTokens - parts.filter(({ key }) => this.#kept.has(key)).reduce((sum, { tokens }) => sum + tokens, 0)
+  #uncachedTokens ({ parts, promptTokens }: EngineJob): number {
+    return promptTokens - parts.filter(({ key }) => this.#cachedParts.has(key)).reduce((sum, { tokens }) => sum + tokens, 0)
   }
 }
 
-function takeMostUrgent (jobs: EngineJob[]): EngineJob {
+function removeMostUrgent (jobs: EngineJob[]): EngineJob {
   const first = jobs.reduce((best, job) => (LANES.indexOf(job.lane) < LANES.indexOf(best.lane) ? job : best))
   jobs.splice(jobs.indexOf(first), 1)
   return first
--- a/bench/_overhead_worker.ts
+++ b/bench/_overhead_worker.ts
@@ -1,4 +1,4 @@
-/** Stand-ins and load on threads of their own, so that the daemon has its core to itself. */
+/** Worker threads for the stand-ins and the load generator, so that they do not share the thread of the daemon. */
 import { parentPort, workerData } from 'node:worker_threads'
 import { Agent, request, setGlobalDispatcher } from 'undici'
 import { as } from '../core/ids/index.ts'
@@ -6,19 +6,19 @@
 import { demoCredential } from '../demo/platform.ts'
 import { Ledger, serveCloudApi, serveEngine, serveObjectApi, serveService, StandInCloud, StandInEngine, StandInStore } from '../standins/index.ts'
 
-/** What the bench asks of the load thread. */
-export interface LoadOrder {
+/** Request from the benchmark to the load generator thread. */
+export interface LoadRequest {
   kind: 'plain' | 'stream' | 'hold'
-  /** Base address of the daemon, or of the endpoint itself. */
+  /** Base URL of the daemon, or of the endpoint for direct calls. */
   url: string
   direct: boolean
-  /** Requests a second, or streams at once. */
+  /** Requests per second; unused for streams. */
   rate: number
   count: number
   tokens: number
 }
 
-/** What it measured, in milliseconds. */
+/** Measured latencies in milliseconds, and the duration of the run in seconds. */
 export interface LoadReport { whole: number[], first: number[], between: number[], failed: number, seconds: number }
 
 const SPEED = { batchSlots: 2000, prefillTokensPerS: 1e9, betweenTokensMs: 32, betweenTokensPerStreamMs: 0, exportTokensPerS: 1e6, importTokensPerS: 1e6 }
@@ -36,13 +36,13 @@
   parentPort!.postMessage({ objectApi: objectApi.url, cloudApi: cloudApi.url, engine: address('assessments'), service: address('claims-status') })
 }
 
-async function run (order: LoadOrder): Promise<LoadReport> {
+async function generateLoad (order: LoadRequest): Promise<LoadReport> {
   const report: LoadReport = { whole: [], first: [], between: [], failed: 0, seconds: 0 }
   const from = performance.now()
   const open: Array<Promise<void>> = []
-  const one = order.kind === 'plain' ? plain : stream
+  const sendOne = order.kind === 'plain' ? plain : stream
   for (let i = 0; i < order.count; i++) {
-    open.push(one(order, i, report).catch(() => { report.failed++ }))
+    open.push(sendOne(order, i, report).catch(() => { report.failed++ }))
     if (order.kind === 'plain') await delay(Math.max(0, from + (i + 1) * 1000 / order.rate - performance.now()))
     else if (i % 20 === 19) await delay(10)
   }
@@ -51,7 +51,7 @@
   return report
 }
 
-async function plain ({ url, direct }: LoadOrder, i: number, report: LoadReport): Promise<void> {
+async function plain ({ url, direct }: LoadRequest, i: number, report: LoadReport): Promise<void> {
   const from = performance.now()
   const path = direct ? '/call' : '/v1/classes/status-check/requests'
   const res = await request(url + path, { method: 'POST', headers: headers(), body: JSON.stringify({ input: `status ${i}` }) })
@@ -60,7 +60,7 @@
   report.whole.push(performance.now() - from)
 }
 
-async function stream ({ url, direct, tokens }: LoadOrder, i: number, report: LoadReport): Promise<void> {
+async function stream ({ url, direct, tokens }: LoadRequest, i: number, report: LoadReport): Promise<void> {
   const from = performance.now()
   const path = direct ? '/streams' : '/v1/classes/claim-review/requests'
   const input = `review ${i} `.padEnd(400, 'x')
@@ -83,4 +83,4 @@
 
 setGlobalDispatcher(new Agent({ connections: 2000 }))
 if (workerData === 'platform') await servePlatform()
-else parentPort!.on('message', async (order: LoadOrder) => parentPort!.postMessage(await run(order)))
+else parentPort!.on('message', async (order: LoadRequest) => parentPort!.postMessage(await generateLoad(order)))
--- a/bench/_placing.ts
+++ b/bench/_placing.ts
@@ -1,4 +1,4 @@
-/** Placing by many daemons that hear of each other's work late: the decisions of each, under a paused clock, before engines that batch. */
+/** Simulation of request placement by many daemons that learn of each other's load with a delay: real dispatchers and simulated batch engines under a fake clock. */
 import FakeTimers from '@sinonjs/fake-timers'
 import xxhash from 'xxhash-wasm'
 import { as, type ClassName, type DaemonId, type EndpointId, type FailureDomain, type HostId, type PoolName } from '../core/ids/index.ts'
@@ -13,14 +13,14 @@
 import type { ListedHost } from '../endpoints/index.ts'
 import { BatchEngine, type BatchEngineOptions } from './_batch_engine.ts'
 
-/** A class of work, as callers ask for it. */
+/** Traffic of one work class. */
 export interface PlacedClass {
   name: string
   perS: number
   urgent: boolean
-  /** Prompt tokens of a request's own, in the mean; some ask for several times as much. */
+  /** Mean number of prompt tokens unique to a request; drawn from a log-normal distribution, so some requests have several times as many. */
   ownTokens: number
-  /** Prompt tokens shared by requests about one subject, and how many subjects there are. */
+  /** Number of prompt tokens shared by all requests about one subject, and the number of subjects. */
   sharedTokens: number
   subjects: number
   pieces: number
@@ -29,46 +29,46 @@
   maxAttempts: number
 }
 
-/** Options of {@linkcode playPlacing}. */
-export interface PlacingOptions {
+/** Options of {@linkcode simulatePlacement}. */
+export interface PlacementSimulationOptions {
   seed: number
   daemons: number
   engines: number
   engine: BatchEngineOptions
   classes: readonly PlacedClass[]
   spanMs: number
-  /** Requests of the first while are not counted, in milliseconds. */
+  /** Warm-up period in milliseconds; requests that arrive during it are not counted. */
   warmMs: number
 }
 
-/** What became of a class's requests. */
+/** Request outcomes of one class. */
 export interface PlacedFigures {
   asked: number
   inTime: number
   late: number
-  /** Refused by the daemon, as there was no room in time. */
-  noRoom: number
-  /** Refused by full engines. */
-  turnedAway: number
-  /** Tokens of shared parts that one engine read while another kept them. */
+  /** Refused by the daemon because no capacity became available in time. */
+  refusedByDaemon: number
+  /** Rejected by full engines after the last attempt. */
+  rejectedByEngine: number
+  /** Shared prompt tokens prefilled on one engine while another engine had them cached. */
   readAgain: number
-  /** By how much the time from placing to first token differed from what was predicted, as a part of it. */
+  /** Relative errors of the predicted time from placement to first token. */
   predictionErrors: number[]
 }
 
 const POOL = as<PoolName>('models')
 const DOMAINS = ['a', 'b', 'c'].map((name) => as<FailureDomain>(name))
-const WAY_MS = 2
-/** What daemons believe of engines before they have seen a first token. */
+const ONE_WAY_DELAY_MS = 2
+/** Engine speed that daemons assume before the first token has been observed. */
 const SPEED = { batchSlots: 0, prefillTokensPerS: 100_000, betweenTokensMs: 4, betweenTokensPerStreamMs: 0.1, exportTokensPerS: 0, importTokensPerS: 0 }
 const { h32 } = await xxhash()
 const hash: Hash32 = (text) => h32(text)
 
-/** Plays callers, daemons and engines; gives what became of each class. */
-export function playPlacing (options: PlacingOptions): Map<string, PlacedFigures> {
+/** Simulates callers, daemons and engines, and returns the request outcomes by class name. */
+export function playPlacing (options: PlacementSimulationOptions): Map<string, PlacedFigures> {
   const clock = FakeTimers.install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'Date', 'performance'] })
   try {
-    const play = new Play(options)
+    const play = new PlacementSimulation(options)
     play.start()
     clock.tick(options.spanMs)
     return play.figures
@@ -77,22 +77,22 @@
   }
 }
 
-interface PlacingDaemon { id: DaemonId, table: EndpointTable, dispatcher: Dispatcher }
+interface SimulatedDaemon { id: DaemonId, table: EndpointTable, dispatcher: Dispatcher }
 
-class Play {
+class PlacementSimulation {
   readonly figures: Map<string, PlacedFigures>
-  readonly #options: PlacingOptions
+  readonly #options: PlacementSimulationOptions
   readonly #random: Random
   readonly #engines = new Map<EndpointId, BatchEngine>()
-  readonly #daemons: PlacingDaemon[]
-  readonly #board = new LoadBoard()
+  readonly #daemons: SimulatedDaemon[]
+  readonly #loadAggregator = new LoadBoard()
   #requests = 0
 
-  constructor (options: PlacingOptions) {
+  constructor (options: PlacementSimulationOptions) {
     this.#options = options
     this.#random = seededRandom(options.seed)
-    this.figures = new Map(options.classes.map(({ name }) => [name, { asked: 0, inTime: 0, late: 0, noRoom: 0, turnedAway: 0, readAgain: 0, predictionErrors: [] }]))
-    const hosts = Array.from({ length: options.engines }, (_, i) => listed(i, options.engine.slots))
+    this.figures = new Map(options.classes.map(({ name }) => [name, { asked: 0, inTime: 0, late: 0, refusedByDaemon: 0, rejectedByEngine: 0, readAgain: 0, predictionErrors: [] }]))
+    const hosts = Array.from({ length: options.engines }, (_, i) => makeHost(i, options.engine.slots))
     for (const { endpoint } of hosts) this.#engines.set(endpoint.id, new BatchEngine(options.engine))
     this.#daemons = Array.from({ length: options.daemons }, (_, i) => this.#daemon(i, hosts))
   }
@@ -102,10 +102,10 @@
     for (const daemon of this.#daemons) {
       setTimeout(() => setInterval(() => this.#report(daemon), reportMs), this.#random() * reportMs)
     }
-    for (const cls of this.#options.classes) this.#arriveLater(cls)
+    for (const cls of this.#options.classes) this.#scheduleArrival(cls)
   }
 
-  #daemon (i: number, hosts: readonly ListedHost[]): PlacingDaemon {
+  #daemon (i: number, hosts: readonly ListedHost[]): SimulatedDaemon {
     const id = as<DaemonId>(`d${i}`)
     const table = new EndpointTable({ self: id, hash })
     table.listed(hosts)
@@ -119,23 +119,23 @@
     return { id, table, dispatcher }
   }
 
-  #report ({ id, table }: PlacingDaemon): void {
+  #report ({ id, table }: SimulatedDaemon): void {
     const work = table.ownWork.map(([endpoint, load]) => [endpoint, structuredClone(load)] as const)
     setTimeout(() => {
-      this.#board.report(id, work, steadyNow())
-      const others = this.#board.othersOf(id, steadyNow())
-      setTimeout(() => table.othersWork(others), WAY_MS)
-    }, WAY_MS)
+      this.#loadAggregator.report(id, work, steadyNow())
+      const others = this.#loadAggregator.othersOf(id, steadyNow())
+      setTimeout(() => table.othersWork(others), ONE_WAY_DELAY_MS)
+    }, ONE_WAY_DELAY_MS)
   }
 
-  #arriveLater (cls: PlacedClass): void {
+  #scheduleArrival (cls: PlacedClass): void {
     setTimeout(() => {
-      this.#arrive(cls)
-      this.#arriveLater(cls)
+      this.#handleArrival(cls)
+      this.#scheduleArrival(cls)
     }, -Math.log(1 - this.#random()) * 1000 / cls.perS)
   }
 
-  #arrive (cls: PlacedClass): void {
+  #handleArrival (cls: PlacedClass): void {
     const counted = steadyNow() >= this.#options.warmMs && steadyNow() < this.#options.spanMs - cls.deadlineMs
     const figures = counted ? this.figures.get(cls.name)! : undefined
     if (figures) figures.asked++
@@ -145,14 +145,14 @@
 
   #demand (cls: PlacedClass): Demand {
     const subject = Math.floor(this.#random() * cls.subjects)
-    // Log-normal with a long tail, as prompts are.
-    const own = Math.round(cls.ownTokens * Math.exp(normal(this.#random)) / Math.exp(0.5))
+    // Prompt lengths are log-normal with a long tail; dividing by exp(0.5) keeps the mean at uniqueTokens.
+    const own = Math.round(cls.ownTokens * Math.exp(standardNormal(this.#random)) / Math.exp(0.5))
     const parts = [{ key: `${cls.name}/${subject}`, tokens: cls.sharedTokens }, { key: `own/${this.#requests++}`, tokens: own }]
     const tokens = cls.pieces * PIECE_TOKENS
     return { promptTokens: cls.sharedTokens + own, maxTokens: tokens * 3, expectedTokens: tokens, parts }
   }
 
-  #place (daemon: PlacingDaemon, req: PlacedRequest): void {
+  #place (daemon: SimulatedDaemon, req: SimulatedRequest): void {
     const { cls, atMs, demand, avoid } = req
     const placement: Placement = {
       account: as('account'),
@@ -165,60 +165,60 @@
       resumed: false,
       avoid,
       placed: ({ id }, route) => this.#send(daemon, req, { endpoint: id, route }),
-      refused: () => { if (req.figures) req.figures.noRoom++ },
+      refused: () => { if (req.figures) req.figures.refusedByDaemon++ },
       waits: () => {}
     }
     daemon.dispatcher.place(placement)
   }
 
-  #send (daemon: PlacingDaemon, req: PlacedRequest, { endpoint, route }: { endpoint: EndpointId, route: Route }): void {
+  #send (daemon: SimulatedDaemon, req: SimulatedRequest, { endpoint, route }: { endpoint: EndpointId, route: Route }): void {
     const placedAtMs = steadyNow()
     const charge = new EndpointCharge(daemon.table)
     charge.send(endpoint, { lane: route.lane, tokens: route.uncachedTokens }, route)
-    const back = (act: () => void) => setTimeout(act, WAY_MS)
+    const afterDelay = (act: () => void) => setTimeout(act, ONE_WAY_DELAY_MS)
     setTimeout(() => {
-      this.#countReadAgain(req, endpoint)
-      const taken = this.#engines.get(endpoint)!.take({
+      this.#countRedundantPrefill(req, endpoint)
+      const taken = this.#engines.get(endpoint)!.trySubmit({
         lane: route.lane,
         parts: req.demand.parts,
         promptTokens: req.demand.promptTokens,
-        pieces: Math.max(1, Math.round(req.cls.pieces * Math.exp(normal(this.#random) * PIECES_SPREAD))),
-        onFirst: () => back(() => {
+        pieces: Math.max(1, Math.round(req.cls.pieces * Math.exp(standardNormal(this.#random) * PIECES_SIGMA))),
+        onFirstPiece: () => afterDelay(() => {
           charge.read()
-          count(req)
+          countFirstToken(req)
           req.figures?.predictionErrors.push(Math.abs(route.firstTokenMs / (steadyNow() - placedAtMs) - 1))
         }),
-        onEnd: () => back(() => {
+        onEnd: () => afterDelay(() => {
           charge.end()
           daemon.dispatcher.pump()
         })
       })
-      if (!taken) back(() => this.#turnedAway(daemon, req, { endpoint, charge }))
-    }, WAY_MS)
+      if (!taken) afterDelay(() => this.#handleRejection(daemon, req, { endpoint, charge }))
+    }, ONE_WAY_DELAY_MS)
   }
 
-  #countReadAgain ({ demand, figures }: PlacedRequest, endpoint: EndpointId): void {
+  #countRedundantPrefill ({ demand, figures }: SimulatedRequest, endpoint: EndpointId): void {
     if (!figures) return
     for (const { key, tokens } of demand.parts.slice(0, -1)) {
-      const keptElsewhere = !this.#engines.get(endpoint)!.keeps(key) && [...this.#engines.values()].some((engine) => engine.keeps(key))
-      if (keptElsewhere) figures.readAgain += tokens
+      const cachedElsewhere = !this.#engines.get(endpoint)!.hasCached(key) && [...this.#engines.values()].some((engine) => engine.hasCached(key))
+      if (cachedElsewhere) figures.readAgain += tokens
     }
   }
 
-  #turnedAway (daemon: PlacingDaemon, req: PlacedRequest, { endpoint, charge }: { endpoint: EndpointId, charge: EndpointCharge }): void {
+  #handleRejection (daemon: SimulatedDaemon, req: SimulatedRequest, { endpoint, charge }: { endpoint: EndpointId, charge: EndpointCharge }): void {
     charge.end()
     if (req.attempts + 1 < req.cls.maxAttempts) this.#place(daemon, { ...req, attempts: req.attempts + 1, avoid: [...req.avoid, endpoint] })
-    else if (req.figures) req.figures.turnedAway++
+    else if (req.figures) req.figures.rejectedByEngine++
     daemon.dispatcher.pump()
   }
 }
 
-interface PlacedRequest { cls: PlacedClass, figures: PlacedFigures | undefined, atMs: number, demand: Demand, attempts: number, avoid: readonly EndpointId[] }
+interface SimulatedRequest { cls: PlacedClass, figures: PlacedFigures | undefined, atMs: number, demand: Demand, attempts: number, avoid: readonly EndpointId[] }
 
 const PIECE_TOKENS = 9
-const PIECES_SPREAD = 0.4
+const PIECES_SIGMA = 0.4
 
-function count ({ cls, figures, atMs }: PlacedRequest): void {
+function countFirstToken ({ cls, figures, atMs }: SimulatedRequest): void {
   if (!figures) return
   if (steadyNow() - atMs <= cls.firstTokenMs) figures.inTime++
   else figures.late++
@@ -239,7 +239,7 @@
   }
 }
 
-function listed (i: number, slots: number): ListedHost {
+function makeHost (i: number, slots: number): ListedHost {
   return {
     hostId: as<HostId>(`h${i}`),
     hostClass: 'any',
@@ -251,7 +251,7 @@
   }
 }
 
-/** A standard normal number. */
-function normal (random: Random): number {
+/** Draws a standard normal value (Box-Muller transform). */
+function standardNormal (random: Random): number {
   return Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random())
 }
--- a/bench/_session.ts
+++ b/bench/_session.ts
@@ -1,4 +1,4 @@
-/** A whole session in memory under a paused clock: daemons, stand-ins and callers. */
+/** In-memory session under a fake clock, with daemons, stand-ins and callers. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { configSchema, type Config } from '../core/config/index.ts'
 import { as, type AccountId, type DaemonId, type FailureDomain, type HostId, type PoolName } from '../core/ids/index.ts'
@@ -7,17 +7,17 @@
 import { settingsSchema } from '../daemon/settings.ts'
 import { Ledger, serviceAnswer, StandInCloud, StandInEngine, StandInNetwork, StandInService, StandInStore, wholeAnswer } from '../standins/index.ts'
 
-/** What callers ask for, and the class that it is of. */
+/** Request kinds; each is also the name of a work class. */
 export const KINDS = ['review', 'letter', 'check', 'confirm'] as const
 export type Kind = typeof KINDS[number]
 
-/** One caller's request and what became of it. */
+/** A request of a caller, and its outcome. */
 export interface Caller {
   kind: Kind
   key: string
   input: string
   maxTokens: number
-  /** Key of an earlier request that this one repeats. */
+  /** Whether the request repeats an earlier one with the same idempotency key. */
   repeats: boolean
   tokens: string[]
   outcome: 'answered' | 'not-run' | 'unknown' | 'refused' | undefined
@@ -29,9 +29,9 @@
 const DOMAINS = ['a', 'b', 'c'] as const
 const SPEED = { batchSlots: 8, prefillTokensPerS: 4000, betweenTokensMs: 40, betweenTokensPerStreamMs: 1, exportTokensPerS: 2000, importTokensPerS: 2000 }
 const realSetImmediate = globalThis.setImmediate
-const FOLLOW_AGAIN_MS = 200
+const RECONNECT_DELAY_MS = 200
 
-/** The configuration of every session. */
+/** Returns the configuration used by all sessions. */
 export function sessionConfig (): Config {
   const cls = (name: string, pool: string, idempotent: boolean, deadlineMs: number) => ({ name, pool, idempotent, latency: { firstTokenMs: 1800, ...(pool === 'models' && { betweenTokensMs: 60 }), deadlineMs }, delivery: 0.99 })
   return configSchema.parse({
@@ -44,19 +44,19 @@
   })
 }
 
-/** One session. */
+/** A running session. Replaces the timers of the runtime until {@linkcode Session.stop} is called. */
 export class Session {
   readonly ledger = new Ledger()
   readonly store = new StandInStore()
   readonly network = new StandInNetwork()
   readonly cloud: StandInCloud
   readonly callers: Caller[] = []
-  /** When hosts began to leave, and whether a notice told of it. */
+  /** Time at which each host began to leave, and whether a notice announced it. */
   readonly leavingSince = new Map<HostId, { atMs: number, noticed: boolean }>()
   daemons: Daemon[] = []
   readonly #seed: number
   readonly #clock: Clock
-  readonly #gone = new Set<DaemonId>()
+  readonly #stoppedDaemons = new Set<DaemonId>()
   #runs = 0
 
   private constructor (seed: number) {
@@ -65,10 +65,10 @@
     this.cloud = new StandInCloud({ ledger: this.ledger, classes: [{ name: 'quad', reclaimablePrice: 4, onDemandPrice: 11, speed: SPEED }], serviceLatencyMs: new Map([['service', 30]]) })
   }
 
-  /** Whether daemons buy hosts. */
+  /** Whether daemons start and stop hosts themselves. */
   #manageFleet = false
 
-  /** Starts three daemons, six model hosts and three service hosts. */
+  /** Starts a session with three daemons, six model hosts and three service hosts. */
   static async start (seed: number, options: { manageFleet?: boolean } = {}): Promise<Session> {
     const session = new Session(seed)
     session.#manageFleet = options.manageFleet ?? false
@@ -84,12 +84,12 @@
     return session
   }
 
-  /** Gives the runtime its clock back. */
+  /** Restores the clock of the runtime. */
   stop (): void {
     this.#clock.uninstall()
   }
 
-  /** Lets time pass: one timer at a time, everything it set off before the next. */
+  /** Advances the clock one timer at a time, running all microtasks caused by a timer before the next one fires. */
   async advance (ms: number): Promise<void> {
     const endsAtMs = Date.now() + ms
     await drainMicrotasks()
@@ -132,7 +132,7 @@
     }))
   }
 
-  /** Reclaims hosts with notice; others are started a second later, so that there is room again. */
+  /** Reclaims hosts with notice, and starts replacements one second later to restore capacity. */
   reclaim (hosts: readonly HostId[], noticeMs: number): void {
     for (const host of hosts) if (!this.leavingSince.has(host)) this.leavingSince.set(host, { atMs: Date.now(), noticed: !this.cloud.faults.silentNotices })
     const lost = this.cloud.live().filter((host) => hosts.includes(host.hostId))
@@ -140,14 +140,14 @@
     setTimeout(() => lost.forEach((host, i) => { this.startHost(host.endpoint.pool, DOMAINS[i % 3]!) }), 1000)
   }
 
-  /** A caller sends a request to a daemon and follows it until its final word. */
+  /** Submits a request to a daemon and reads its answer until the final result. */
   submit (daemon: Daemon, request: { kind: Kind, key: string, input: string, maxTokens: number, repeats?: boolean }): Caller {
     const caller: Caller = { repeats: false, ...request, tokens: [], outcome: undefined, reason: '' }
     this.callers.push(caller)
     if (request.kind === 'letter' || request.kind === 'confirm') this.ledger.expectOnce(request.input)
     try {
       const task = daemon.broker.submit({ account: ACCOUNT, className: request.kind, input: request.input, maxTokens: request.maxTokens, idempotencyKey: request.key })
-      this.#follow(caller, daemon, task)
+      this.#readAnswer(caller, daemon, task)
     } catch (err) {
       caller.outcome = 'refused'
       caller.reason = (err as Error).message
@@ -155,22 +155,22 @@
     return caller
   }
 
-  /** Stops a daemon as a crash does; its callers' connections are cut. */
+  /** Simulates a crash of a daemon; connections of its callers are closed. */
   async kill (daemon: Daemon): Promise<void> {
-    this.#gone.add(daemon.id)
+    this.#stoppedDaemons.add(daemon.id)
     this.daemons = this.daemons.filter((other) => other !== daemon)
     await daemon.kill()
   }
 
-  /** Drains a daemon; the balancer stops sending to it, its callers stay. */
+  /** Drains a daemon: it gets no new requests from the load balancer, but its callers stay connected. */
   drain (daemon: Daemon): void {
     this.daemons = this.daemons.filter((other) => other !== daemon)
-    daemon.drain().then(() => this.#gone.add(daemon.id))
+    daemon.drain().then(() => this.#stoppedDaemons.add(daemon.id))
   }
 
-  /** What is wrong with the session's outcome, judged by callers and stand-ins alone. */
+  /** Returns violated guarantees, determined only from what callers and stand-ins observed. */
   violations (): string[] {
-    const found = this.callers.flatMap((caller) => this.#wrongWith(caller))
+    const found = this.callers.flatMap((caller) => this.#violationsOf(caller))
     const { doubled } = this.ledger.totals()
     if (doubled > 0) found.push(`${doubled} non-idempotent requests ran twice`)
     for (const [host, since] of this.leavingSince) {
@@ -180,66 +180,69 @@
     return found
   }
 
-  /** Without a notice a refusal is the first signal, and one that its daemon took with it when it was killed is none. */
+  /**
+   * Counts attempts at a leaving host more than 2 s after the first signal. Without a notice the first refusal is the signal. One late
+   * refusal is tolerated per stopped daemon, as knowledge of the refusal may have been lost with it.
+   */
   #lateAttempts (host: HostId, since: { atMs: number, noticed: boolean }): number {
     const endpoint = this.cloud.endpoint(host)
     if (!(endpoint instanceof StandInEngine)) return 0
     const refusals = endpoint.refusedAtMs
     if (since.noticed) return refusals.filter((atMs) => atMs > since.atMs + 2000).length
     const late = refusals.filter((atMs) => atMs > refusals[0]! + 2000).length
-    return Math.max(0, late - this.#gone.size)
+    return Math.max(0, late - this.#stoppedDaemons.size)
   }
 
-  #wrongWith (caller: Caller): string[] {
+  #violationsOf (caller: Caller): string[] {
     const name = `${caller.kind} ${caller.key}`
-    if (caller.outcome === undefined) return [`${name} got no final word`]
-    if (caller.outcome === 'answered' && !isWhole(caller)) return [`${name} was given ${caller.tokens.length} of ${caller.maxTokens} tokens, torn or another's`]
+    if (caller.outcome === undefined) return [`${name} got no final result`]
+    if (caller.outcome === 'answered' && !isCorrectAnswer(caller)) return [`${name} got ${caller.tokens.length} of ${caller.maxTokens} tokens: incomplete or from another request`]
     const ran = this.ledger.executions(caller.input) > 0
-    if (toldNotRun(caller) && ran && !this.#askedAgain(caller)) return [`${name} was told not-run and ran`]
+    if (reportedNotRun(caller) && ran && !this.#wasResubmitted(caller)) return [`${name} was reported as not-run but ran`]
     return []
   }
 
-  /** The same key sent again is a request of its own: told not-run, a caller may send it again and have it run. */
-  #askedAgain (caller: Caller): boolean {
-    return this.callers.some((other) => other !== caller && other.input === caller.input && !toldNotRun(other))
+  /** Returns whether the same work was submitted again and may have run then: a caller told `not-run` may retry with the same key. */
+  #wasResubmitted (caller: Caller): boolean {
+    return this.callers.some((other) => other !== caller && other.input === caller.input && !reportedNotRun(other))
   }
 
-  /** Reads the answer as a connection does: from a cursor, at the daemon it is connected to, until it ends or is cut. */
-  #follow (caller: Caller, daemon: Daemon, answer: LiveAnswer): void {
+  /** Reads an answer like a client connection: from an offset, at one daemon, until the answer ends or the connection is lost. */
+  #readAnswer (caller: Caller, daemon: Daemon, answer: LiveAnswer): void {
     let ended = false
-    const take = () => {
+    const poll = () => {
       if (ended) return
-      if (this.#gone.has(daemon.id) && !answer.final) return again()
+      if (this.#stoppedDaemons.has(daemon.id) && !answer.final) return disconnect()
       caller.tokens.push(...answer.tokens.slice(caller.tokens.length))
       if (answer.final) return finish()
-      if (answer.movedAway) again()
+      if (answer.movedAway) disconnect()
     }
     const finish = () => {
       ended = true
       stop()
-      clearInterval(watch)
+      clearInterval(pollTimer)
       const repeats = answer.final!.repeats
-      if (repeats !== undefined) return this.#followAgain(caller, repeats)
+      if (repeats !== undefined) return this.#reconnect(caller, repeats)
       caller.outcome = answer.final!.outcome
       caller.reason = answer.final!.reason
     }
-    const again = () => {
+    const disconnect = () => {
       ended = true
       stop()
-      clearInterval(watch)
-      setTimeout(() => this.#followAgain(caller, answer.id), FOLLOW_AGAIN_MS)
+      clearInterval(pollTimer)
+      setTimeout(() => this.#reconnect(caller, answer.id), RECONNECT_DELAY_MS)
     }
-    const stop = answer.subscribe(take)
-    // A cut connection is noticed when the daemon is gone.
-    const watch = setInterval(take, FOLLOW_AGAIN_MS)
-    take()
+    const stop = answer.subscribe(poll)
+    // Polling detects a daemon that has stopped.
+    const pollTimer = setInterval(poll, RECONNECT_DELAY_MS)
+    poll()
   }
 
-  #followAgain (caller: Caller, id: LiveAnswer['id'], tries = 0): void {
+  #reconnect (caller: Caller, id: LiveAnswer['id'], tries = 0): void {
     const daemon = this.daemons[tries % Math.max(1, this.daemons.length)]
     const found = daemon?.broker.find(id, ACCOUNT)
-    if (!daemon) setTimeout(() => this.#followAgain(caller, id, tries + 1), 1000)
-    else if (found) this.#follow(caller, daemon, found)
+    if (!daemon) setTimeout(() => this.#reconnect(caller, id, tries + 1), 1000)
+    else if (found) this.#readAnswer(caller, daemon, found)
     else {
       caller.outcome = 'unknown'
       caller.reason = 'nobody holds the answer'
@@ -247,16 +250,16 @@
   }
 }
 
-function toldNotRun ({ outcome }: Caller): boolean {
+function reportedNotRun ({ outcome }: Caller): boolean {
   return outcome === 'not-run' || outcome === 'refused'
 }
 
-function isWhole ({ kind, tokens, input, maxTokens }: Caller): boolean {
+function isCorrectAnswer ({ kind, tokens, input, maxTokens }: Caller): boolean {
   const model = kind === 'review' || kind === 'letter'
   return tokens.join('') === (model ? wholeAnswer(input, maxTokens).join('') : serviceAnswer(input))
 }
 
-/** Milliseconds until the next timer fires. */
+/** Returns the time until the next timer fires, in milliseconds. */
 function nextTimerInMs (clock: Clock): number {
   const timers = (clock as unknown as { timers?: Map<number, { callAt: number }> | Record<number, { callAt: number }> }).timers ?? {}
   const all = timers instanceof Map ? [...timers.values()] : Object.values(timers)
--- a/bench/cost.ts
+++ b/bench/cost.ts
@@ -1,4 +1,4 @@
-/** A seeded day of a fleet: money, missed requests and recomputed tokens, against baselines and a bound that knows the reclaims. */
+/** Simulated days of a fleet: cost, missed requests and recomputed tokens, compared with baselines and with a lower bound that knows all reclaims in advance. */
 import { CheapestPlanner, MixPlanner, OnDemandPlanner, ReclaimRisk, ScaleDown, type FleetPlanner, type Offer } from '../core/fleet/index.ts'
 import { as, type FailureDomain } from '../core/ids/index.ts'
 import { canFinish, evaluate, JointPlanner } from '../core/reclaim/index.ts'
@@ -17,7 +17,7 @@
 const DAY_MS = 86_400_000
 const BOOT_MS = 180_000
 const ON_DEMAND_PRICE = 11.5
-/** Growth of the demand that may come while a host boots. */
+/** Headroom for demand growth while a host boots. */
 const GROWTH_MARGIN = 1.08
 const LOSS_PRICE = 0.05
 const DAYS = 5
@@ -31,21 +31,21 @@
 /** `npm run bench -- cost`. */
 export const costBench: Bench = {
   name: 'cost',
-  about: 'money, missed requests and recomputed tokens of seeded days, both deployments',
+  about: 'cost, missed requests and recomputed tokens of seeded days, both deployments',
   run ({ seed, print }) {
     const rows: Figures[] = []
     for (const deployment of ['adunni-levy', 'kingston-parish'] as const) {
-      for (const strategy of STRATEGIES) rows.push(average(deployment, strategy, seed))
+      for (const strategy of STRATEGIES) rows.push(averageDays(deployment, strategy, seed))
     }
     for (const row of rows) print(JSON.stringify(row))
     return { days: DAYS, rows }
   }
 }
 
-function average (deployment: 'adunni-levy' | 'kingston-parish', strategy: Strategy, seed: number): Figures {
+function averageDays (deployment: 'adunni-levy' | 'kingston-parish', strategy: Strategy, seed: number): Figures {
   const days = Array.from({ length: DAYS }, (_, i) => {
-    const day = makeDay(deployment, seededRandom(seedOf(seed, i)))
-    return { ...simulate(day, strategy, seededRandom(seedOf(seed, i + DAYS))), bound: bound(day) }
+    const day = makeDay(deployment, seededRandom(spreadSeed(seed, i)))
+    return { ...simulate(day, strategy, seededRandom(spreadSeed(seed, i + DAYS))), bound: lowerBound(day) }
   })
   const mean = (pick: (day: typeof days[number]) => number) => days.reduce((sum, day) => sum + pick(day), 0) / days.length
   const target = 1 - makeDay(deployment, seededRandom(1)).delivery
@@ -62,8 +62,8 @@
   }
 }
 
-/** Neighbouring seeds give the generator like first numbers: the days would all have the same first waves. */
-function seedOf (seed: number, i: number): number {
+/** Spreads seeds apart: with adjacent seeds the first numbers of the generator are similar, so all days would start with the same reclaims. */
+function spreadSeed (seed: number, i: number): number {
   return Math.imul(seed * 1000 + i + 1, 0x9E3779B1)
 }
 
@@ -71,7 +71,7 @@
   const adunni = deployment === 'adunni-levy'
   const names = adunni ? ['ikeja', 'lekki', 'yaba'] : ['half-way-tree', 'cross-roads', 'new-kingston']
   const domains = names.map((name, i) => ({ name: as<FailureDomain>(name), price: [4, 4.5, 5][i]! }))
-  const waves = domains.flatMap(({ name }) => wavesOf(name, random)).sort((a, b) => a.atMs - b.atMs)
+  const waves = domains.flatMap(({ name }) => drawWaves(name, random)).sort((a, b) => a.atMs - b.atMs)
   const burstAtMs = (adunni ? 9 : 15) * 3_600_000
   const demand = (ms: number) => {
     const diurnal = 0.45 + 0.3 * Math.sin((ms / DAY_MS - 0.25) * 2 * Math.PI)
@@ -82,7 +82,7 @@
   return { shape: { name: deployment, endpoints: peakHosts, domains: 3, wantsLeast: adunni ? 'cost' : 'recomputed-work' }, peakHosts, delivery: 0.999, domains, demand: (ms) => demand(ms) * peakHosts, waves }
 }
 
-function wavesOf (domain: FailureDomain, random: Random): Wave[] {
+function drawWaves (domain: FailureDomain, random: Random): Wave[] {
   const waves: Wave[] = []
   for (let atMs = -Math.log(1 - random()) * DAY_MS; atMs < DAY_MS; atMs += -Math.log(1 - random()) * DAY_MS) {
     waves.push({ atMs, domain, noticeMs: [2000, 10_000, 30_000][Math.floor(random() * 3)]!, refusedMs: 600_000 + random() * 1_200_000 })
@@ -104,7 +104,7 @@
     for (const wave of day.waves.filter(({ atMs }) => atMs >= now && atMs < now + STEP_MS)) hosts = reclaim(wave, hosts, { day, strategy, risk, result, random })
     const wanted = scale.smooth(day.demand(now) * GROWTH_MARGIN, now)
     const plan = planner.plan({ hosts: wanted, delivery: day.delivery, bootMs: BOOT_MS, lossPrice: LOSS_PRICE }, offersAt(day, risk, now))
-    hosts = follow(plan.holdings.map(({ offer, count }) => ({ offer, count })), hosts, now)
+    hosts = applyPlan(plan.holdings.map(({ offer, count }) => ({ offer, count })), hosts, now)
     const ready = hosts.filter((host) => host.readyAtMs <= now).length
     offered += day.demand(now)
     missed += Math.max(0, day.demand(now) - ready)
@@ -132,14 +132,14 @@
       ? problem.streams.filter((stream) => !canFinish(stream, problem.sources.get(stream.source)!)).reduce((sum, stream) => sum + stream.kvTokens, 0)
       : evaluate(new JointPlanner().plan(problem), problem).recomputedTokens
   } else if (lost.length > 0) {
-    // Nothing is left to take a stream: everything is computed again on hosts that are still to boot.
+    // No host remains to take over streams: everything is recomputed on hosts that have yet to boot.
     result.recomputed += makeProblem({ ...day.shape, endpoints: lost.length + 1 }, { leaving: lost.length, noticeMs: wave.noticeMs, random }).streams.reduce((sum, stream) => sum + stream.kvTokens, 0)
   }
   return hosts.filter((host) => !lost.includes(host))
 }
 
-/** Starts what the plan has more of. Hosts beyond the plan go once those that replace them are ready, or at once when nothing boots. */
-function follow (wanted: ReadonlyArray<{ offer: Offer, count: number }>, hosts: readonly Host[], now: number): Host[] {
+/** Starts missing hosts. Surplus hosts are stopped as their replacements become ready, or immediately if no host is booting. */
+function applyPlan (wanted: ReadonlyArray<{ offer: Offer, count: number }>, hosts: readonly Host[], now: number): Host[] {
   const kept: Host[] = []
   let rest = [...hosts]
   for (const { offer, count } of wanted) {
@@ -153,8 +153,8 @@
   return [...kept, ...rest.slice(0, booting)]
 }
 
-/** Least that any fleet could cost: whole hosts for the demand of the moment, in the cheapest domain that is not being reclaimed. */
-function bound (day: Day): number {
+/** Lower bound of the cost of any fleet: whole hosts for the current demand, in the cheapest domain that accepts reclaimable hosts at that time. */
+function lowerBound (day: Day): number {
   let cost = 0
   for (let now = 0; now < DAY_MS; now += STEP_MS) {
     const open = day.domains.filter(({ name }) => !day.waves.some((wave) => wave.domain === name && wave.atMs <= now && now < wave.atMs + wave.refusedMs))
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,4 +1,4 @@
-/** Admission under load: small accounts beside a large one, and goodput beyond capacity. */
+/** Admission control under load: fairness between small accounts and a large one, and goodput above capacity. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { FairQueue, FifoQueue, type WorkQueue } from '../core/admission/index.ts'
 import { classOf } from '../core/config/index.ts'
@@ -16,31 +16,31 @@
 
 const ENDPOINTS = 4
 const SLOTS = 8
-const RUN_MS = 2000
+const SERVICE_TIME_MS = 2000
 const DEADLINE_MS = 30_000
-const SPAN_MS = 120_000
+const ARRIVAL_SPAN_MS = 120_000
 const ACCOUNTS = 5
-/** Requests a second that the endpoints can run. */
-const CAPACITY_PER_S = ENDPOINTS * SLOTS * 1000 / RUN_MS
+/** Requests per second that the endpoints can serve. */
+const CAPACITY_PER_S = ENDPOINTS * SLOTS * 1000 / SERVICE_TIME_MS
 
 /** `npm run bench -- limits`. */
 export const limitsBench: Bench = {
   name: 'limits',
-  about: 'waits of small accounts beside a large one, and goodput at 0.5 to 5 times capacity',
+  about: 'queueing delay of small accounts next to a large one, and goodput at 0.5 to 5 times capacity',
   run ({ seed, print }) {
-    const shares = (['fair', 'fifo'] as const).map((kind) => beside(kind, seed))
-    const goodput = [0.5, 1, 2, 5].flatMap((load) => (['fair', 'fifo'] as const).map((kind) => beyond(kind, load, seed)))
+    const shares = (['fair', 'fifo'] as const).map((kind) => measureFairness(kind, seed))
+    const goodput = [0.5, 1, 2, 5].flatMap((load) => (['fair', 'fifo'] as const).map((kind) => measureOverload(kind, load, seed)))
     for (const row of [...shares, ...goodput]) print(JSON.stringify(row))
     const at = (load: number) => goodput.find((row) => row.load === load && row.queue === 'fair')!.goodputPerS as number
     return { capacityPerS: CAPACITY_PER_S, shares, goodput, goodputAt5Of1: round(at(5) / at(1), 3) }
   }
 }
 
-/** Four accounts within their share, one at ten times its own: together well over capacity. */
-function beside (kind: QueueKind, seed: number): Figures {
+/** Four accounts at 80% of their share and one at ten times its share: well above capacity in total. */
+function measureFairness (kind: QueueKind, seed: number): Figures {
   const share = CAPACITY_PER_S / ACCOUNTS
   const random = seededRandom(seed)
-  const arrivals = Array.from({ length: ACCOUNTS }, (_, i) => arrivalsOf(as(`account-${i}`), i === 0 ? share * 10 : share * 0.8, random)).flat().sort((a, b) => a.atMs - b.atMs)
+  const arrivals = Array.from({ length: ACCOUNTS }, (_, i) => poissonArrivals(as(`account-${i}`), i === 0 ? share * 10 : share * 0.8, random)).flat().sort((a, b) => a.atMs - b.atMs)
   const outcomes = replay(arrivals, kind, seed)
   const small = outcomes.filter(({ account }) => account !== 'account-0')
   const large = outcomes.filter(({ account }) => account === 'account-0')
@@ -48,27 +48,27 @@
     queue: kind,
     smallP95WaitMs: Math.round(quantile(small.filter(({ ok }) => ok).map(({ waitMs }) => waitMs), 0.95)),
     smallAnswered: round(small.filter(({ ok }) => ok).length / small.length, 3),
-    largeAnsweredPerS: round(large.filter(({ ok }) => ok).length * 1000 / SPAN_MS, 2)
+    largeAnsweredPerS: round(large.filter(({ ok }) => ok).length * 1000 / ARRIVAL_SPAN_MS, 2)
   }
 }
 
-function beyond (kind: QueueKind, load: number, seed: number): Figures {
+function measureOverload (kind: QueueKind, load: number, seed: number): Figures {
   const random = seededRandom(seed)
-  const arrivals = Array.from({ length: ACCOUNTS }, (_, i) => arrivalsOf(as(`account-${i}`), load * CAPACITY_PER_S / ACCOUNTS, random)).flat().sort((a, b) => a.atMs - b.atMs)
+  const arrivals = Array.from({ length: ACCOUNTS }, (_, i) => poissonArrivals(as(`account-${i}`), load * CAPACITY_PER_S / ACCOUNTS, random)).flat().sort((a, b) => a.atMs - b.atMs)
   const outcomes = replay(arrivals, kind, seed)
   const refused = outcomes.filter(({ ok }) => !ok).map(({ waitMs }) => waitMs)
-  return { queue: kind, load, offeredPerS: round(arrivals.length * 1000 / SPAN_MS, 2), goodputPerS: round(outcomes.filter(({ ok, startedAtMs }) => ok && startedAtMs <= SPAN_MS).length * 1000 / SPAN_MS, 2), p95WaitMs: Math.round(quantile(outcomes.filter(({ ok }) => ok).map(({ waitMs }) => waitMs), 0.95)), refusedAfterMsP95: Math.round(quantile(refused, 0.95)) }
+  return { queue: kind, load, offeredPerS: round(arrivals.length * 1000 / ARRIVAL_SPAN_MS, 2), goodputPerS: round(outcomes.filter(({ ok, startedAtMs }) => ok && startedAtMs <= ARRIVAL_SPAN_MS).length * 1000 / ARRIVAL_SPAN_MS, 2), p95WaitMs: Math.round(quantile(outcomes.filter(({ ok }) => ok).map(({ waitMs }) => waitMs), 0.95)), refusedAfterMsP95: Math.round(quantile(refused, 0.95)) }
 }
 
-function arrivalsOf (account: AccountId, perS: number, random: Random): Arrival[] {
+function poissonArrivals (account: AccountId, perS: number, random: Random): Arrival[] {
   const arrivals: Arrival[] = []
   for (let atMs = 0; ; arrivals.push({ atMs, account })) {
     atMs += -Math.log(1 - random()) * 1000 / perS
-    if (atMs > SPAN_MS) return arrivals
+    if (atMs > ARRIVAL_SPAN_MS) return arrivals
   }
 }
 
-/** Runs the dispatcher itself under a paused clock; an endpoint holds a slot for the run and is free again. */
+/** Runs the real dispatcher under a fake clock; every request occupies an endpoint slot for a fixed service time. */
 function replay (arrivals: readonly Arrival[], kind: QueueKind, seed: number): Outcome[] {
   const clock = FakeTimers.install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'Date'] })
   try {
@@ -81,7 +81,7 @@
 function run (arrivals: readonly Arrival[], kind: QueueKind, seed: number, clock: Clock): Outcome[] {
   const hash = (text: string) => text.length
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
-  table.listed(Array.from({ length: ENDPOINTS }, (_, i) => listed(i)))
+  table.listed(Array.from({ length: ENDPOINTS }, (_, i) => makeHost(i)))
   const queue = (): WorkQueue<Placement> => (kind === 'fair' ? new FairQueue() : new FifoQueue())
   const dispatcher = new Dispatcher({ table, router: new TargetRouter({ random: seededRandom(seed) }), prefixes: new PrefixIndex(), queue })
   const cls = { ...classOf(sessionConfig().classes[0]!, true), latency: { firstTokenMs: 1800, betweenTokensMs: 60, deadlineMs: DEADLINE_MS } }
@@ -102,18 +102,18 @@
         placed: ({ id }) => {
           done(true)
           table.started(id, { lane: 'normal', tokens: 0 })
-          setTimeout(() => { table.ended(id); dispatcher.pump() }, RUN_MS)
+          setTimeout(() => { table.ended(id); dispatcher.pump() }, SERVICE_TIME_MS)
         },
         waits: () => {},
         refused: () => done(false)
       })
     }, atMs)
   }
-  clock.tick(SPAN_MS + DEADLINE_MS * 2)
+  clock.tick(ARRIVAL_SPAN_MS + DEADLINE_MS * 2)
   return outcomes
 }
 
-function listed (i: number) {
+function makeHost (i: number) {
   const speed = { batchSlots: SLOTS, prefillTokensPerS: 1e6, betweenTokensMs: 20, betweenTokensPerStreamMs: 1, exportTokensPerS: 1, importTokensPerS: 1 }
   return { hostId: as<never>(`h${i}`), hostClass: 'quad', failureDomain: as<never>('a'), reclaimable: true, pricePerHour: 1, state: 'live' as const, endpoint: { id: as<never>(`e${i}`), pool: as<never>('models'), address: '', speed } }
 }
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,4 +1,4 @@
-/** Cost and speed of membership and configuration over many small nodes in one process, on loopback. */
+/** Cost and convergence time of membership and configuration, with many small nodes in one process connected over loopback. */
 import xxhash from 'xxhash-wasm'
 import { as, type DaemonId } from '../core/ids/index.ts'
 import { HEARTBEAT_MS, SUSPECT_AFTER_MS, TimeoutDetector, type Detector } from '../core/membership/index.ts'
@@ -12,7 +12,7 @@
 import { PeerLinks } from '../daemon/peers/peer_links.ts'
 import { StandInStore } from '../standins/index.ts'
 import { sessionConfig } from './_session.ts'
-import { AccrualDetector } from './_accrual.ts'
+import { AccrualDetector } from './_accrual_detector.ts'
 import { quantile, round, slope, type Bench, type BenchOptions, type Figures } from './bench.ts'
 
 interface Node { id: DaemonId, membership: MembershipTask, config: ConfigTask, metrics: Metrics }
@@ -21,13 +21,13 @@
 const DOMAINS = 8
 const STEADY_MS = 10_000
 const TIMEOUT_MS = 120_000
-/** Headers of a small message on the wire: IP and TCP with time stamps (52), web socket (up to 8), and the acknowledgement that it draws (52). */
+/** Overhead of a small message on the wire: IP and TCP headers with timestamps (52), WebSocket header (up to 8), and the TCP acknowledgement (52). */
 const WIRE_BYTES_PER_MESSAGE = 112
 
 /** `npm run bench -- membership`. */
 export const membershipBench: Bench = {
   name: 'membership',
-  about: 'bytes, CPU and memory of membership at 9 to 300 nodes, time for a fact and a configuration to reach all',
+  about: 'traffic, CPU and memory of membership with 9 to 300 nodes, and time until a fact and a configuration reach all nodes',
   async run (options: BenchOptions) {
     const { h32 } = await xxhash()
     const rows: Figures[] = []
@@ -46,30 +46,30 @@
   const random = seededRandom(seed)
   const store = new StandInStore()
   global.gc?.()
-  const heapBefore = process.memoryUsage().rss
+  const rssBefore = process.memoryUsage().rss
   const nodes: Node[] = []
-  const joinMs = await timed(async () => {
+  const joinMs = await measureMs(async () => {
     for (let i = 0; i < count; i++) nodes.push(await startNode(i, { store, hash, random, seeds: nodes.slice(0, 3).map((node) => node.membership.core.self.address) }))
-    await until(() => nodes.every((node) => node.membership.working.length === count))
+    await waitUntil(() => nodes.every((node) => node.membership.working.length === count))
   })
   await nodes[0]!.config.apply(sessionConfig(), { operator: 'bench' })
-  await until(() => nodes.every((node) => node.config.inForce?.revision === 1))
+  await waitUntil(() => nodes.every((node) => node.config.inForce?.revision === 1))
   await delay(3000)
   const steady = await measureSteady(nodes)
-  const fact = await spread(nodes, () => nodes[0]!.membership.tell({ key: 'leaving/host', version: 1, value: 1 }), (node) => node.membership.core.fact('leaving/host') !== undefined)
+  const fact = await timeToReachAll(nodes, () => nodes[0]!.membership.tell({ key: 'leaving/host', version: 1, value: 1 }), (node) => node.membership.core.fact('leaving/host') !== undefined)
   const beforeChange = await totals(nodes)
-  const config = await spread(nodes, () => { nodes[1]!.config.apply({ ...sessionConfig(), wantsLeast: 'cost' }, { operator: 'bench' }) }, (node) => node.config.inForce?.revision === 2)
+  const config = await timeToReachAll(nodes, () => { nodes[1]!.config.apply({ ...sessionConfig(), wantsLeast: 'cost' }, { operator: 'bench' }) }, (node) => node.config.inForce?.revision === 2)
   await delay(1000)
   const changeBytes = (await totals(nodes)).bytes - beforeChange.bytes
   const crashed = nodes.pop()!
   crashed.config.stop()
-  const gone = await spread(nodes, () => { crashed.membership.stop() }, (node) => node.membership.core.member(crashed.id)?.state === 'gone')
+  const gone = await timeToReachAll(nodes, () => { crashed.membership.stop() }, (node) => node.membership.core.member(crashed.id)?.state === 'gone')
   for (const node of nodes) node.config.stop()
   const row = {
     nodes: count,
     joinMs: Math.round(joinMs),
     ...steady,
-    memoryKb: Math.round((process.memoryUsage().rss - heapBefore) / 1024 / count),
+    memoryKb: Math.round((process.memoryUsage().rss - rssBefore) / 1024 / count),
     factP50Ms: fact.p50,
     factMaxMs: fact.max,
     configP50Ms: config.p50,
@@ -132,8 +132,8 @@
   return { bytes, messages, suspected }
 }
 
-/** Time until each node knows. */
-async function spread (nodes: readonly Node[], act: () => void, knows: (node: Node) => boolean): Promise<{ p50: number, max: number }> {
+/** Runs an action and returns the median and maximum time until a node knows of it. */
+async function timeToReachAll (nodes: readonly Node[], act: () => void, knows: (node: Node) => boolean): Promise<{ p50: number, max: number }> {
   const from = performance.now()
   const times: number[] = []
   let waiting = [...nodes]
@@ -151,31 +151,31 @@
   return { p50: Math.round(quantile(times, 0.5)), max: Math.round(Math.max(...times)) }
 }
 
-/** False suspicions in an hour and time to detect a crash, on three kinds of heartbeats. */
+/** Compares false suspicions per hour and crash detection time of failure detectors, for three heartbeat patterns. */
 function compareDetectors (random: Random): Figures[] {
   const kinds: Record<string, () => number> = {
     regular: () => HEARTBEAT_MS * (0.95 + random() * 0.1),
-    // One gap in eight is stretched by a collection pause.
+    // One interval in eight is extended by a garbage collection pause.
     bimodal: () => HEARTBEAT_MS * (random() < 0.125 ? 1.8 + random() * 0.4 : 0.95 + random() * 0.1),
-    // Now and then the whole process stands still for 2 to 3.5 s.
+    // One interval in 200 is extended by a process pause of 2 to 3.5 s.
     paused: () => HEARTBEAT_MS + (random() < 0.005 ? 2000 + random() * 1500 : random() * 50)
   }
-  const makers: Record<string, () => Detector> = {
+  const detectors: Record<string, () => Detector> = {
     'timeout 4 s': () => new TimeoutDetector(SUSPECT_AFTER_MS, 0),
     'timeout 2 s': () => new TimeoutDetector(2000, 0),
     'accrual 8': () => new AccrualDetector(0),
     'accrual 4': () => new AccrualDetector(0, { threshold: 4 })
   }
-  return Object.entries(kinds).flatMap(([heartbeats, gap]) => Object.entries(makers).map(([detector, make]) => ({ heartbeats, detector, ...trial(make(), gap) })))
+  return Object.entries(kinds).flatMap(([heartbeats, gap]) => Object.entries(detectors).map(([detector, make]) => ({ heartbeats, detector, ...simulateDetector(make(), gap) })))
 }
 
-const TRIAL_BEATS = 36_000
+const TRIAL_HEARTBEATS = 36_000
 const CHECK_MS = 100
 
-function trial (detector: Detector, gap: () => number): { wrongPerHour: number, detectMs: number } {
+function simulateDetector (detector: Detector, gap: () => number): { wrongPerHour: number, detectMs: number } {
   let now = 0
   let wrong = 0
-  for (let beat = 0; beat < TRIAL_BEATS; beat++) {
+  for (let beat = 0; beat < TRIAL_HEARTBEATS; beat++) {
     const next = now + gap()
     if (detector.suspects(next - 1)) wrong++
     now = next
@@ -183,19 +183,19 @@
   }
   let detectMs = 0
   while (!detector.suspects(now + detectMs) && detectMs < 60_000) detectMs += CHECK_MS
-  return { wrongPerHour: round(wrong / TRIAL_BEATS * 3600, 1), detectMs }
+  return { wrongPerHour: round(wrong / TRIAL_HEARTBEATS * 3600, 1), detectMs }
 }
 
-async function timed (act: () => Promise<void>): Promise<number> {
+async function measureMs (act: () => Promise<void>): Promise<number> {
   const from = performance.now()
   await act()
   return performance.now() - from
 }
 
-async function until (holds: () => boolean): Promise<void> {
+async function waitUntil (holds: () => boolean): Promise<void> {
   const from = performance.now()
   while (!holds()) {
-    if (performance.now() - from > TIMEOUT_MS) throw new Error('Cannot go on: nodes did not agree in time')
+    if (performance.now() - from > TIMEOUT_MS) throw new Error('Cannot continue: nodes did not converge in time')
     await delay(20)
   }
 }
--- a/bench/overhead.ts
+++ b/bench/overhead.ts
@@ -1,4 +1,4 @@
-/** What a daemon adds: latency, processor time and memory, against calling the endpoint directly in the same run. */
+/** Latency, CPU time and memory added by a daemon, compared with direct calls to the endpoint in the same run. */
 import { once } from 'node:events'
 import { Worker } from 'node:worker_threads'
 import { delay } from '../core/time/index.ts'
@@ -6,7 +6,7 @@
 import { settingsSchema } from '../daemon/settings.ts'
 import { adunniLevy } from '../demo/deployments.ts'
 import { DEMO_SECRET, until } from '../demo/platform.ts'
-import type { LoadOrder, LoadReport } from './_overhead_worker.ts'
+import type { LoadRequest, LoadReport } from './_overhead_worker.ts'
 import { quantile, round, type Bench, type Figures } from './bench.ts'
 
 interface PlatformUrls { objectApi: string, cloudApi: string, engine: string, service: string }
@@ -20,25 +20,25 @@
 /** `npm run bench -- overhead`. */
 export const overheadBench: Bench = {
   name: 'overhead',
-  about: 'latency, processor time and memory that one daemon adds',
+  about: 'latency, CPU time and memory added by one daemon',
   async run ({ seed, print }) {
-    const platform = worker('platform')
-    const load = worker('load')
+    const platform = startWorker('platform')
+    const load = startWorker('load')
     const [urls] = await once(platform, 'message') as [PlatformUrls]
     const daemon = await startDaemon(urls, seed)
-    const rig: Rig = { load, daemon, urls }
-    await ordered(rig, { kind: 'plain', direct: false, rate: PLAIN_RATE, count: 300, tokens: 1 })
-    const figures = { plain: await plain(rig), saturated: await saturated(rig), stream: await stream(rig), memory: await memory(rig) }
+    const rig: BenchSetup = { load, daemon, urls }
+    await runLoad(rig, { kind: 'plain', direct: false, rate: PLAIN_RATE, count: 300, tokens: 1 })
+    const figures = { plain: await measurePlainCalls(rig), saturated: await measureSaturation(rig), stream: await measureStreams(rig), memory: await measureMemory(rig) }
     for (const [name, row] of Object.entries(figures)) print(`${name}: ${JSON.stringify(row)}`)
     await Promise.all([platform.terminate(), load.terminate()])
     return figures
   }
 }
 
-interface Rig { load: Worker, daemon: Daemon, urls: PlatformUrls }
+interface BenchSetup { load: Worker, daemon: Daemon, urls: PlatformUrls }
 
-function worker (role: string): Worker {
-  // A thread does not inherit the loader of TypeScript, so it registers its own first.
+function startWorker (role: string): Worker {
+  // Worker threads do not inherit the TypeScript loader, so the worker registers its own first.
   const script = `import('tsx/esm/api').then(({ register }) => { register(); return import(${JSON.stringify(new URL('./_overhead_worker.ts', import.meta.url).href)}) })`
   return new Worker(script, { workerData: role, eval: true, execArgv: [] })
 }
@@ -58,32 +58,32 @@
   return daemon
 }
 
-async function ordered ({ load, daemon, urls }: Rig, order: Omit<LoadOrder, 'url'>): Promise<LoadReport> {
+async function runLoad ({ load, daemon, urls }: BenchSetup, order: Omit<LoadRequest, 'url'>): Promise<LoadReport> {
   const direct = order.kind === 'plain' ? urls.service : urls.engine
-  load.postMessage({ ...order, url: order.direct ? direct : daemon.addresses.callers } satisfies LoadOrder)
+  load.postMessage({ ...order, url: order.direct ? direct : daemon.addresses.callers } satisfies LoadRequest)
   const [report] = await once(load, 'message') as [LoadReport]
   return report
 }
 
-async function plain (rig: Rig): Promise<Figures> {
+async function measurePlainCalls (rig: BenchSetup): Promise<Figures> {
   const order = { kind: 'plain', rate: PLAIN_RATE, count: PLAIN_COUNT, tokens: 1 } as const
-  const direct = await ordered(rig, { ...order, direct: true })
-  const busy = busyMeter()
-  const through = await ordered(rig, { ...order, direct: false })
+  const direct = await runLoad(rig, { ...order, direct: true })
+  const busy = startUtilizationMeter()
+  const through = await runLoad(rig, { ...order, direct: false })
   return { requestsPerS: PLAIN_RATE, failed: through.failed, ...compare('whole', direct.whole, through.whole), coreShare: busy() }
 }
 
-async function saturated (rig: Rig): Promise<Figures> {
-  const busy = busyMeter()
-  const report = await ordered(rig, { kind: 'plain', direct: false, rate: 1e6, count: 4000, tokens: 1 })
+async function measureSaturation (rig: BenchSetup): Promise<Figures> {
+  const busy = startUtilizationMeter()
+  const report = await runLoad(rig, { kind: 'plain', direct: false, rate: 1e6, count: 4000, tokens: 1 })
   return { requestsPerSAtMost: Math.round(report.whole.length / report.seconds), failed: report.failed, coreShare: busy() }
 }
 
-async function stream (rig: Rig): Promise<Figures> {
+async function measureStreams (rig: BenchSetup): Promise<Figures> {
   const order = { kind: 'stream', rate: 0, count: STREAMS, tokens: STREAM_TOKENS } as const
-  const direct = await ordered(rig, { ...order, direct: true })
-  const busy = busyMeter()
-  const through = await ordered(rig, { ...order, direct: false })
+  const direct = await runLoad(rig, { ...order, direct: true })
+  const busy = startUtilizationMeter()
+  const through = await runLoad(rig, { ...order, direct: false })
   const tokensPerS = Math.round(STREAMS * STREAM_TOKENS / through.seconds)
   const coreShare = busy()
   return {
@@ -97,11 +97,11 @@
   }
 }
 
-/** Heap of the daemon's own thread for each open stream. */
-async function memory (rig: Rig): Promise<Figures> {
+/** Measures the heap used per open stream on the thread of the daemon. */
+async function measureMemory (rig: BenchSetup): Promise<Figures> {
   global.gc?.()
   const before = process.memoryUsage().heapUsed
-  await ordered(rig, { kind: 'hold', direct: false, rate: 0, count: HELD_STREAMS, tokens: 1000 })
+  await runLoad(rig, { kind: 'hold', direct: false, rate: 0, count: HELD_STREAMS, tokens: 1000 })
   await delay(3000)
   global.gc?.()
   const open = rig.daemon.broker.openCount
@@ -117,8 +117,8 @@
   }
 }
 
-/** Part of the time that this thread's event loop was busy. */
-function busyMeter (): () => number {
+/** Starts measuring event loop utilization; the returned function gives the busy fraction since then. */
+function startUtilizationMeter (): () => number {
   const from = performance.eventLoopUtilization()
   return () => round(performance.eventLoopUtilization(from).utilization, 3)
 }
--- a/bench/placing.ts
+++ b/bench/placing.ts
@@ -1,23 +1,23 @@
-/** How much of a heavy load fleets of any size serve in time, by daemons that hear of each other late. */
+/** Fraction of requests served in time under heavy load, by fleet size, when daemons learn of each other's load with a delay. */
 import { playPlacing, type PlacedClass, type PlacedFigures } from './_placing.ts'
 import { quantile, round, type Bench, type Figures } from './bench.ts'
 
 const FLEETS = [9, 83, 195, 420]
-/** Times of a load that fills the engines to two thirds. */
+/** Multiples of a base load that uses two thirds of the engine capacity. */
 const LOADS = [1, 1.4, 1.5, 1.6, 1.8]
 const ENGINES = 27
 const ENGINE = { slots: 12, queue: 25, readTokensPerMs: 125, firstMs: 62, pieceMs: 30, pieceMsPerRequest: 0.75 }
 const SPAN_MS = 20_000
-const WARM_MS = 2000
+const WARMUP_MS = 2000
 
 /** `npm run bench -- placing`. */
 export const placingBench: Bench = {
   name: 'placing',
-  about: 'first tokens in time by fleets of 9 to 420 daemons before 27 engines, as the load grows',
+  about: 'first tokens in time with 9 to 420 daemons and 27 engines, by load',
   run ({ seed, print }) {
     const rows = FLEETS.flatMap((daemons) => LOADS.map((load) => {
-      const played = playPlacing({ seed, daemons, engines: ENGINES, engine: ENGINE, classes: classesOf(load), spanMs: SPAN_MS, warmMs: WARM_MS })
-      const row = { daemons, load, ...Object.fromEntries([...played].map(([name, figures]) => [name, partsOf(figures)])) }
+      const results = playPlacing({ seed, daemons, engines: ENGINES, engine: ENGINE, classes: classesOf(load), spanMs: SPAN_MS, warmMs: WARMUP_MS })
+      const row = { daemons, load, ...Object.fromEntries([...results].map(([name, figures]) => [name, fractionsOf(figures)])) }
       print(JSON.stringify(row))
       return row
     }))
@@ -32,17 +32,17 @@
   ]
 }
 
-/** Parts of what was asked. */
-function partsOf ({ asked, inTime, late, noRoom, turnedAway, readAgain, predictionErrors }: PlacedFigures): Figures {
-  const part = (count: number) => round(count / Math.max(1, asked), 3)
-  const error = (q: number) => round(quantile(predictionErrors, q))
+/** Converts counts to fractions of the requests made. */
+function fractionsOf ({ asked, inTime, late, refusedByDaemon: noRoom, rejectedByEngine: turnedAway, readAgain, predictionErrors }: PlacedFigures): Figures {
+  const fraction = (count: number) => round(count / Math.max(1, asked), 3)
+  const errorQuantile = (q: number) => round(quantile(predictionErrors, q))
   return {
     asked,
-    inTime: part(inTime),
-    late: part(late),
-    refused: part(noRoom),
-    turnedAway: part(turnedAway),
+    inTime: fraction(inTime),
+    late: fraction(late),
+    refused: fraction(noRoom),
+    turnedAway: fraction(turnedAway),
     tokensReadAgain: Math.round(readAgain / Math.max(1, asked)),
-    predictionError: { median: error(0.5), p95: error(0.95) }
+    predictionError: { median: errorQuantile(0.5), p95: errorQuantile(0.95) }
   }
 }
--- a/bench/reclaim.ts
+++ b/bench/reclaim.ts
@@ -1,4 +1,4 @@
-/** The reclaim planner against restart, prefill only and the optimum. */
+/** Compares the reclaim planner with restarting, prefill-only planning and the optimum. */
 import { as, type EndpointId, type RequestId } from '../core/ids/index.ts'
 import {
   BruteForcePlanner, JointPlanner, NOTICE_MARGIN_MS, PrefillPlanner, canFinish, evaluate, exportMs, reclaimWeights, shareImports,
@@ -8,7 +8,7 @@
 import { seededRandom } from '../daemon/seeded_random.ts'
 import { quantile, round, type Bench, type Figures } from './bench.ts'
 
-/** Size and wish of a deployment. */
+/** Size and optimization goal of a deployment. */
 export interface Shape { name: string, endpoints: number, domains: number, wantsLeast: 'cost' | 'recomputed-work' }
 interface Stream extends ThreatenedStream { promptTokens: number }
 interface Problem extends ReclaimProblem { streams: readonly Stream[] }
@@ -20,13 +20,13 @@
 ]
 const WAVES = ['one', 'domain', '40%'] as const
 const NOTICES_MS = [2000, 10_000, 30_000]
-/** Assumed of one server of four accelerators; stated in docs/MEASUREMENTS.md. */
+/** Assumed speed and price of one server with four accelerators; see docs/MEASUREMENTS.md. */
 export const ENGINE = { batchSlots: 64, prefillTokensPerS: 12_000, exportTokensPerS: 14_000, importTokensPerS: 14_000, betweenTokensMs: 28, pricePerHour: 4.2 }
-/** A fast link and one of a quarter of it. */
+/** KV export rates: a fast link, and one at a quarter of its speed. */
 const EXPORT_TOKENS_PER_S = [14_000, 3500]
-const OCCUPIED = 0.5
-const KV_ROOM_TOKENS = 600_000
-const SHARED_PREFIX = 0.3
+const SLOT_OCCUPANCY = 0.5
+const FREE_KV_TOKENS = 600_000
+const SHARED_PREFIX_PROBABILITY = 0.3
 const SMALL_CASES = 100
 const TIMED_RUNS = 15
 const TIMED_STREAMS = 2000
@@ -49,19 +49,19 @@
     }
     print(Object.keys(waves[0]!).map((name) => name.slice(0, 15).padStart(16)).join(''))
     for (const row of waves) print(Object.values(row).map((cell) => String(cell).padStart(16)).join(''))
-    return { waves, optimum: againstOptimum(random), planning: timed(random), uncoordinated: uncoordinated(random) }
+    return { waves, optimum: compareWithOptimum(random), planning: measurePlanningTime(random), uncoordinated: measureUncoordinated(random) }
   }
 }
 
 function compare (shape: Shape, options: { wave: typeof WAVES[number], noticeMs: number, exportTokensPerS: number }, random: Random): Figures {
   const { wave, noticeMs, exportTokensPerS } = options
-  const problem = makeProblem(shape, { leaving: leavingOf(shape, wave), noticeMs, exportTokensPerS, random })
+  const problem = makeProblem(shape, { leaving: leavingCount(shape, wave), noticeMs, exportTokensPerS, random })
   const from = performance.now()
   const plan = new JointPlanner().plan(problem)
   const planMs = performance.now() - from
   const joint = evaluate(plan, problem)
   const prefill = evaluate(new PrefillPlanner().plan(problem), problem)
-  const restart = restarted(problem)
+  const restart = restartBaseline(problem)
   return {
     shape: shape.name,
     wave,
@@ -83,13 +83,13 @@
   }
 }
 
-function leavingOf (shape: Shape, wave: typeof WAVES[number]): number {
+function leavingCount (shape: Shape, wave: typeof WAVES[number]): number {
   if (wave === 'one') return 1
   return wave === 'domain' ? Math.ceil(shape.endpoints / shape.domains) : Math.round(shape.endpoints * 0.4)
 }
 
-/** Baseline: whatever did not finish by itself begins again from nothing. */
-function restarted (problem: Problem): { tokens: number, late: number } {
+/** Baseline: streams that cannot finish within the notice restart from scratch. */
+function restartBaseline (problem: Problem): { tokens: number, late: number } {
   const moved = problem.streams.filter((stream) => !canFinish(stream, problem.sources.get(stream.source)!))
   const late = moved.filter((stream) => {
     const again = stream.kvTokens - stream.promptTokens + stream.remainingTokens
@@ -98,7 +98,7 @@
   return { tokens: moved.reduce((sum, stream) => sum + stream.kvTokens, 0), late: late.length }
 }
 
-/** A reclaim of `leaving` endpoints of a shape, with streams at any point of their run. */
+/** Generates a reclaim of `leaving` endpoints of a deployment, with streams at random points of their run. */
 export function makeProblem (shape: Shape, options: { leaving: number, noticeMs: number, random: Random, streams?: number, slots?: number, exportTokensPerS?: number }): Problem {
   const { random } = options
   const id = (i: number) => as<EndpointId>(`e${i}`)
@@ -106,22 +106,22 @@
   const targets = new Map<EndpointId, Target>()
   for (let i = 0; i < shape.endpoints; i++) {
     if (i < options.leaving) sources.set(id(i), { id: id(i), noticeMs: options.noticeMs, exportTokensPerS: options.exportTokensPerS ?? ENGINE.exportTokensPerS, share: 1, luck: 0, betweenTokensMs: ENGINE.betweenTokensMs })
-    else targets.set(id(i), { ...ENGINE, importShare: 1, id: id(i), freeSlots: options.slots ?? Math.round(ENGINE.batchSlots * (1 - OCCUPIED)), freeKvTokens: KV_ROOM_TOKENS, pricePerHour: ENGINE.pricePerHour * (0.8 + random() * 0.6) })
+    else targets.set(id(i), { ...ENGINE, importShare: 1, id: id(i), freeSlots: options.slots ?? Math.round(ENGINE.batchSlots * (1 - SLOT_OCCUPANCY)), freeKvTokens: FREE_KV_TOKENS, pricePerHour: ENGINE.pricePerHour * (0.8 + random() * 0.6) })
   }
-  const perSource = Math.round(ENGINE.batchSlots * OCCUPIED)
+  const perSource = Math.round(ENGINE.batchSlots * SLOT_OCCUPANCY)
   const count = options.streams ?? options.leaving * perSource
   const targetIds = [...targets.keys()]
   const streams = Array.from({ length: count }, (_, i) => makeStream(i, id(i % options.leaving), targetIds, random))
   return { streams, sources, targets, weights: reclaimWeights(shape.wantsLeast, targets.values()) }
 }
 
-/** Long reviews and short replies, at any point of their run. */
+/** Generates a long review or a short reply at a random point of its run. */
 function makeStream (i: number, source: EndpointId, targets: readonly EndpointId[], random: Random): Stream {
   const long = random() < 0.5
   const promptTokens = long ? 2000 + Math.floor(random() * 6000) : 100 + Math.floor(random() * 400)
   const answerTokens = long ? 500 + Math.floor(random() * 1500) : 50 + Math.floor(random() * 200)
   const done = Math.floor(random() * answerTokens)
-  const cached = random() < SHARED_PREFIX ? [targets[Math.floor(random() * targets.length)]!] : []
+  const cached = random() < SHARED_PREFIX_PROBABILITY ? [targets[Math.floor(random() * targets.length)]!] : []
   return {
     id: as<RequestId>(`d~${i}`),
     source,
@@ -134,7 +134,7 @@
   }
 }
 
-function againstOptimum (random: Random): Figures {
+function compareWithOptimum (random: Random): Figures {
   let joint = 0
   let optimum = 0
   let prefill = 0
@@ -142,23 +142,23 @@
   for (let i = 0; i < SMALL_CASES; i++) {
     const problem = smallProblem(random)
     const price = (planner: ReclaimPlanner) => evaluate(planner.plan(problem), problem).price
-    const best = price(new BruteForcePlanner())
-    const ours = price(new JointPlanner())
-    joint += ours
-    optimum += best
+    const optimalPrice = price(new BruteForcePlanner())
+    const jointPrice = price(new JointPlanner())
+    joint += jointPrice
+    optimum += optimalPrice
     prefill += price(new PrefillPlanner())
-    if (best > 0) ratios.push(ours / best)
+    if (optimalPrice > 0) ratios.push(jointPrice / optimalPrice)
   }
   return { cases: SMALL_CASES, overOptimum: round(joint / optimum, 4), prefillOverOptimum: round(prefill / optimum, 4), p95: round(quantile(ratios, 0.95), 3), worst: round(Math.max(...ratios), 3) }
 }
 
-/** Up to five streams on two sources, three targets with one to three free slots: scarce in every way. */
+/** Two to five streams on two sources, and three targets with one to three free slots each: time and capacity are both scarce. */
 function smallProblem (random: Random): Problem {
   const shape: Shape = { name: 'small', endpoints: 5, domains: 2, wantsLeast: random() < 0.5 ? 'cost' : 'recomputed-work' }
   return makeProblem(shape, { leaving: 2, noticeMs: 500 + random() * 1500, random, streams: 2 + Math.floor(random() * 4), slots: 1 + Math.floor(random() * 3) })
 }
 
-function timed (random: Random): Figures {
+function measurePlanningTime (random: Random): Figures {
   const shape = SHAPES[2]!
   const problem = makeProblem(shape, { leaving: 75, noticeMs: 10_000, random, streams: TIMED_STREAMS })
   const planner = new JointPlanner()
@@ -170,17 +170,17 @@
   return { streams: TIMED_STREAMS, endpoints: shape.endpoints, medianMs: round(quantile(times, 0.5)), maxMs: round(Math.max(...times)) }
 }
 
-/** Daemons that plan without knowing of each other, each for its own streams, against one planner that knows all. */
-function uncoordinated (random: Random): Figures {
+/** Compares daemons that each plan for their own streams, without coordination, with a single planner that knows all streams. */
+function measureUncoordinated (random: Random): Figures {
   const shape = SHAPES[2]!
   const problem = makeProblem(shape, { leaving: 75, noticeMs: 2000, random })
   const used = { exportMs: new Map<EndpointId, number>(), importMs: new Map<EndpointId, number>() }
   let recomputed = 0
   for (let daemon = 0; daemon < DAEMONS; daemon++) {
-    const part = partOf(problem, daemon, random)
+    const part = daemonProblem(problem, daemon, random)
     const plan = new JointPlanner().plan(part)
     recomputed += evaluate(plan, part).recomputedTokens
-    addUse(plan, part, used)
+    addTransferTimes(plan, part, used)
   }
   return {
     daemons: DAEMONS,
@@ -191,7 +191,7 @@
   }
 }
 
-function partOf (problem: Problem, daemon: number, random: Random): Problem {
+function daemonProblem (problem: Problem, daemon: number, random: Random): Problem {
   const streams = problem.streams.filter((_, i) => i % DAEMONS === daemon)
   const sources = new Map([...problem.sources].map(([id, source]) => [id, { ...source, share: shareOf(streams, problem.streams, id), luck: random() }]))
   const subset = [...problem.targets.values()].filter(() => random() < SUBSET / problem.targets.size)
@@ -199,21 +199,21 @@
   return { ...problem, streams, sources, targets }
 }
 
-function addUse (plan: readonly Directive[], part: Problem, used: { exportMs: Map<EndpointId, number>, importMs: Map<EndpointId, number> }): void {
+function addTransferTimes (plan: readonly Directive[], part: Problem, transferTimes: { exportMs: Map<EndpointId, number>, importMs: Map<EndpointId, number> }): void {
   const byId = new Map(part.streams.map((stream) => [stream.id, stream]))
   for (const directive of plan) {
     if (directive.action !== 'import') continue
     const stream = byId.get(directive.stream)!
-    add(used.exportMs, stream.source, exportMs(stream, part.sources.get(stream.source)!))
-    add(used.importMs, directive.target, stream.kvTokens * 1000 / ENGINE.importTokensPerS)
+    addTo(transferTimes.exportMs, stream.source, exportMs(stream, part.sources.get(stream.source)!))
+    addTo(transferTimes.importMs, directive.target, stream.kvTokens * 1000 / ENGINE.importTokensPerS)
   }
 }
 
-function add (sums: Map<EndpointId, number>, key: EndpointId, value: number): void {
+function addTo (sums: Map<EndpointId, number>, key: EndpointId, value: number): void {
   sums.set(key, (sums.get(key) ?? 0) + value)
 }
 
-/** Part of the transfers that would end after the notice. */
+/** Returns the fraction of transfer time that exceeds the notice period. */
 function lateShare (sums: ReadonlyMap<EndpointId, number>): number {
   const all = [...sums.values()].reduce((sum, ms) => sum + ms, 0)
   const over = [...sums.values()].reduce((sum, ms) => sum + Math.max(0, ms - (2000 - NOTICE_MARGIN_MS)), 0)
--- a/bench/registry.ts
+++ b/bench/registry.ts
@@ -1,4 +1,4 @@
-/** Every bench by name. */
+/** Registry of all benchmarks. */
 import type { Bench } from './bench.ts'
 import { costBench } from './cost.ts'
 import { limitsBench } from './limits.ts'
@@ -13,5 +13,5 @@
 import { storeBench } from './store.ts'
 import { waveBench } from './wave.ts'
 
-/** All benches. */
+/** All benchmarks, in the order in which they are listed. */
 export const BENCHES: readonly Bench[] = [costBench, limitsBench, membershipBench, onceBench, overheadBench, placingBench, reclaimBench, rolloutBench, routeBench, schedulesBench, storeBench, waveBench]
--- a/bench/schedules.ts
+++ b/bench/schedules.ts
@@ -1,4 +1,4 @@
-/** Long runs of random fault schedules; a failure prints the seed and the schedule that replay it. */
+/** Long runs of random fault schedules. A failure prints the seed, path and schedule needed to reproduce it. */
 import fc from 'fast-check'
 import { announcedSchedule, anySchedule, runSchedule } from './_schedule.ts'
 import type { Bench, Figures } from './bench.ts'
@@ -8,7 +8,7 @@
 /** `npm run bench -- schedules --count 10000`. */
 export const schedulesBench: Bench = {
   name: 'schedules',
-  about: 'random fault schedules over whole sessions, checked against the promises',
+  about: 'random fault schedules over simulated sessions, checked against the guarantees',
   async run ({ seed, count, print }) {
     const runs = Math.ceil((count ?? DEFAULT_COUNT) / 2)
     const from = process.hrtime.bigint()
--- a/bench/store.ts
+++ b/bench/store.ts
@@ -1,4 +1,4 @@
-/** Calls on the store when it returns after an outage: with back-off and without. */
+/** Store call rate during and after an outage, with and without backoff. */
 import { delay } from '../core/time/index.ts'
 import { seededRandom } from '../daemon/seeded_random.ts'
 import { StandInStore } from '../standins/index.ts'
@@ -7,14 +7,14 @@
 
 const SIZES = [9, 100, 420]
 const OUTAGE_MS = 8000
-const AFTER_MS = 12_000
+const RECOVERY_MS = 12_000
 const SLICE_MS = 100
 const RETRY_MS = 500
 
 /** `npm run bench -- store`. */
 export const storeBench: Bench = {
   name: 'store',
-  about: 'peak of calls on the store during and after an outage',
+  about: 'peak store call rate during and after an outage',
   async run ({ seed, print }) {
     const rows = await Promise.all(SIZES.flatMap((daemons) => [measure(daemons, 'budgeted', seed), measure(daemons, 'naive', seed)]))
     for (const row of rows) print(JSON.stringify(row))
@@ -22,7 +22,7 @@
   }
 }
 
-/** Every daemon wants one read as soon as the store answers; the naive one asks every 500 ms. */
+/** Each daemon retries one read until the store answers; the naive client retries every 500 ms. */
 async function measure (daemons: number, kind: 'budgeted' | 'naive', seed: number): Promise<Figures> {
   const store = new StandInStore()
   store.faults.down = true
@@ -41,17 +41,17 @@
     }
     return Infinity
   })
-  const slices: number[] = []
+  const callsPerSlice: number[] = []
   let before = 0
   const sampler = setInterval(() => {
     const calls = store.calls.reads
-    slices.push(calls - before)
+    callsPerSlice.push(calls - before)
     before = calls
   }, SLICE_MS)
   await delay(OUTAGE_MS)
   store.faults.down = false
-  const upAt = performance.now()
-  await delay(AFTER_MS)
+  const restoredAt = performance.now()
+  await delay(RECOVERY_MS)
   end.abort()
   clearInterval(sampler)
   const answeredAt = await Promise.all(waiting)
@@ -60,9 +60,9 @@
   return {
     daemons,
     client: kind,
-    peakPerSDuring: perS(slices.slice(10, outageSlices)),
-    meanPerSDuring: round(slices.slice(10, outageSlices).reduce((sum, calls) => sum + calls, 0) * 1000 / (OUTAGE_MS - 10 * SLICE_MS), 0),
-    peakPerSAfter: perS(slices.slice(outageSlices)),
-    lastAnsweredAfterMs: Math.round(Math.max(...answeredAt) - upAt)
+    peakPerSDuring: perS(callsPerSlice.slice(10, outageSlices)),
+    meanPerSDuring: round(callsPerSlice.slice(10, outageSlices).reduce((sum, calls) => sum + calls, 0) * 1000 / (OUTAGE_MS - 10 * SLICE_MS), 0),
+    peakPerSAfter: perS(callsPerSlice.slice(outageSlices)),
+    lastAnsweredAfterMs: Math.round(Math.max(...answeredAt) - restoredAt)
   }
 }
--- a/bench/wave.ts
+++ b/bench/wave.ts
@@ -1,4 +1,4 @@
-/** Attempts for each request through a reclaimed and a lost failure domain and an outage of the store. */
+/** Attempts per request during the reclaim of a failure domain, the loss of another, and a store outage. */
 import type { HostId } from '../core/ids/index.ts'
 import { seededRandom } from '../daemon/seeded_random.ts'
 import { KINDS, Session } from './_session.ts'
@@ -15,7 +15,7 @@
 /** `npm run bench -- wave`. */
 export const waveBench: Bench = {
   name: 'wave',
-  about: 'attempts for each request while domains go and the store returns',
+  about: 'attempts per request during the reclaim and loss of domains and a store outage',
   async run ({ seed, print }) {
     const rows = [await measure('quiet', seed, false), await measure('waves', seed, true)]
     for (const row of rows) print(JSON.stringify(row))
@@ -33,7 +33,7 @@
       const model = kind === 'review' || kind === 'letter'
       const maxTokens = model ? 20 + Math.floor(random() * 100) : 1
       session.submit(session.daemons[i % 3]!, { kind, key: `k${i}`, input: `${kind} ${i} `.padEnd(model ? 1200 : 20, 'x'), maxTokens })
-      if (faults) await inject(session, i)
+      if (faults) await injectFaults(session, i)
       for (const host of session.cloud.live()) hosts.add(host.hostId)
       await session.advance(SPAN_MS / REQUESTS)
     }
@@ -45,7 +45,7 @@
   }
 }
 
-async function inject (session: Session, i: number): Promise<void> {
+async function injectFaults (session: Session, i: number): Promise<void> {
   if (i === REQUESTS * RECLAIM_AT) session.reclaim(session.cloud.hostsIn('a'), 2000)
   if (i === REQUESTS * LOSS_AT) {
     for (const host of session.cloud.live().filter((each) => each.failureDomain === 'b')) {
@@ -65,15 +65,15 @@
     attempts += (await metrics.attempts.get()).values.reduce((sum, { value }) => sum + value, 0)
     denied += (await metrics.retriesDenied.get()).values.reduce((sum, { value }) => sum + value, 0)
   }
-  const told = (outcome: string) => session.callers.filter((caller) => caller.outcome === outcome).length
+  const countOutcome = (outcome: string) => session.callers.filter((caller) => caller.outcome === outcome).length
   return {
     name,
     attemptsPerRequest: round(attempts / REQUESTS, 3),
     takenByEndpointsPerRequest: round(taken / REQUESTS, 3),
     retriesDenied: denied,
-    answered: told('answered'),
-    notRun: told('not-run') + told('refused'),
-    unknown: told('unknown'),
+    answered: countOutcome('answered'),
+    notRun: countOutcome('not-run') + countOutcome('refused'),
+    unknown: countOutcome('unknown'),
     violations: session.violations().length
   }
 }
