--- a/daemon/config/audit.ts
+++ b/daemon/config/audit.ts
@@ -2,15 +2,15 @@
 import type { Change } from '../../core/config/index.ts'
 import { isStoreFailure, StoreError, type ObjectStore } from '../../store/index.ts'
 
-/** What kind of change a record tells of. */
+/** Kind of change that a record describes. */
 export type AuditKind = 'config' | 'config-refused' | 'config-unsure' | 'order' | 'cloud' | 'drain' | 'release'
 
-/** One record. */
+/** One audit record, as stored. */
 export interface AuditRecord {
   kind: AuditKind
-  /** Unique to the attempt. */
+  /** Identifies the attempt; unique. */
   id: string
-  /** An operator's name, or a daemon's id for its own orders. */
+  /** Name of the operator, or id of the daemon for orders that it gives itself. */
   who: string
   /** Milliseconds since the epoch. */
   atMs: number
@@ -20,53 +20,54 @@
   what: unknown
 }
 
-/** Which records to read. */
+/** Selects the records to read. */
 export interface AuditFilter { kind?: AuditKind, who?: string, fromMs?: number, toMs?: number }
 
-const DIGITS = 15
-const PAGE = 200
+const KEY_DIGITS = 15
+const PAGE_SIZE = 200
 const KINDS: readonly AuditKind[] = ['config', 'config-refused', 'config-unsure', 'order', 'cloud', 'drain', 'release']
 
-/** Reads and writes the trail. */
+/** Writes audit records to the store and reads them back. */
 export class AuditTrail {
   readonly #store: ObjectStore
-  readonly #unwritten: AuditRecord[] = []
+  readonly #pending: AuditRecord[] = []
 
   constructor (store: ObjectStore) {
     this.#store = store
   }
 
-  /** Records that wait for the store. */
-  get unwritten (): number { return this.#unwritten.length }
+  /** Number of records that are not written to the store yet. */
+  get unwritten (): number { return this.#pending.length }
 
-  /** Writes a record, now or when the store is back; the change itself never waits for it. */
+  /** Writes a record, or keeps it for the next flush if the store fails. The change itself does not depend on the record. */
   async write (record: AuditRecord): Promise<void> {
-    this.#unwritten.push(record)
+    this.#pending.push(record)
     await this.flush()
   }
 
-  /** Writes what waits. */
+  /** Writes the pending records in order, up to the first that fails. */
   async flush (): Promise<void> {
-    for (let next = this.#unwritten[0]; next; next = this.#unwritten[0]) {
+    for (let next = this.#pending[0]; next; next = this.#pending[0]) {
       if (!await this.#create(next)) return
-      this.#unwritten.shift()
+      this.#pending.shift()
     }
   }
 
   /**
-   * Writes the records of accepted changes that are missing.
+   * Writes missing records of accepted changes.
    *
-   * A daemon that dies between the conditional update and the record would leave a change that nobody made; the accepted value
-   * carries its last changes, so any daemon can write them again. The key is the revision, so two that do so write one record.
+   * A daemon that crashes between the conditional update and writing the record would leave a change without an author. The accepted value
+   * therefore carries its last changes, so that any daemon can write their records. The key is the revision, so several daemons that do so
+   * write one record.
    */
-  async repair (changes: readonly Change[]): Promise<void> {
+  async restoreMissing (changes: readonly Change[]): Promise<void> {
     for (const change of changes) {
       const { id, operator, atMs, fromRevision, toRevision, diff } = change
       await this.write({ kind: 'config', id, who: operator, atMs, fromRevision, toRevision, what: diff })
     }
   }
 
-  /** Reads the records that match, oldest first. */
+  /** Reads the matching records, oldest first. */
   async read (filter: AuditFilter = {}): Promise<AuditRecord[]> {
     const kinds = filter.kind ? [filter.kind] : KINDS
     const all: AuditRecord[] = []
@@ -79,18 +80,18 @@
     const records: AuditRecord[] = []
     let after = ''
     for (;;) {
-      const page = await this.#store.list(`audit/${kind}/`, { after, limit: PAGE })
+      const page = await this.#store.list(`audit/${kind}/`, { after, limit: PAGE_SIZE })
       records.push(...page.map((object) => JSON.parse(object.value) as AuditRecord))
-      if (page.length < PAGE) return records
+      if (page.length < PAGE_SIZE) return records
       after = page.at(-1)!.key
     }
   }
 
-  /** True when the record is there; a conflict means that it was before. */
+  /** Returns true if the record is stored; a conflict means that it was stored before. */
   async #create (record: AuditRecord): Promise<boolean> {
     const order = record.kind === 'config' ? record.toRevision! : record.atMs
     const suffix = record.kind === 'config' ? '' : `-${record.id}`
-    const key = `audit/${record.kind}/${String(order).padStart(DIGITS, '0')}${suffix}`
+    const key = `audit/${record.kind}/${String(order).padStart(KEY_DIGITS, '0')}${suffix}`
     try {
       await this.#store.create(key, JSON.stringify(record))
       return true
--- a/daemon/config/config_follower.ts
+++ b/daemon/config/config_follower.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest configuration in force on this daemon, from the store and from the other daemons. */
+/** Follows the configuration in the store and at the other daemons, and keeps the newest revision in force. */
 import { newest } from '../../core/config/revision.ts'
 import { problemsOf } from '../../core/config/validate.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
@@ -9,67 +9,68 @@
 import type { Metrics } from '../metrics.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
 
-/** A configuration; its revision orders it among all others, without a clock. */
-export interface Revised { readonly revision: number }
+/** A configuration. Revisions order configurations without relying on clocks. */
+export interface HasRevision { readonly revision: number }
 
 /** Options of {@linkcode ConfigFollower}. */
-export interface ConfigFollowerOptions<C extends Revised> {
+export interface ConfigFollowerOptions<C extends HasRevision> {
   self: DaemonId
   store: ObjectSource
   /** Key of the one object that holds the configuration, such as `config/current`. */
   key: string
-  /** Reads the object's value. Throws {@linkcode InvalidError} when it is not a configuration. */
+  /** Decodes the object's value. Throws {@linkcode InvalidError} if it is not a valid configuration. */
   decode (value: string): C
   membership: MembershipTask
   metrics: Metrics
   hash: Hash32
   random: () => number
-  /** Longest wait of a watch, in milliseconds. Default 10,000. */
+  /** Timeout of a watch call, in milliseconds. Default 10,000. */
   waitMs?: number
-  /** Daemons of one failure domain that follow `store`; the others list it now and then and hear of changes from them. Default 2. */
+  /** Number of daemons in a failure domain that watch the store; the others poll it and learn of changes from peers. Default 2. */
   watchersPerDomain?: number
   /**
-   * Tell the other daemons in this one's member record which revision is in force, for operators who ask how far a change has come. Each record goes to every
-   * daemon, so that a revision costs a message for each pair of daemons. Default true.
+   * Publish the revision in force in this daemon's member record, so that operators can see how far a change has spread. Each record is sent
+   * to every daemon, so a revision costs one message per pair of daemons. Default true.
    */
-  tellsRevision?: boolean
+  publishesRevision?: boolean
 }
 
-const FACT = 'config'
+const FACT_KEY = 'config'
 const DEFAULT_WATCHERS_PER_DOMAIN = 2
 const POLL_MS = 60_000
-/** How long the store's last answer counts as knowledge that no newer revision exists, in milliseconds. */
-const SURE_FOR_MS = 150_000
+/** Time for which the store's last answer counts as confirmation that no newer revision exists, in milliseconds. */
+const CONFIRMATION_TTL_MS = 150_000
 
 /**
- * Owns the configuration in force.
+ * Holds the configuration in force.
  *
- * Watch events and peers' copies come late, doubled and out of order; only a higher revision replaces the one in force, or a change would be
- * seen to revert. A store that is down takes nothing away, and a daemon that it turns away hears of a new revision from the others.
+ * Watch events and copies from peers may arrive late, duplicated or out of order, so only a higher revision replaces the one in force;
+ * otherwise a change could be reverted. While the store is down the configuration stays in force, and a daemon that the store does not
+ * serve gets new revisions from its peers.
  */
-export class ConfigFollower<C extends Revised> {
+export class ConfigFollower<C extends HasRevision> {
   readonly #options: ConfigFollowerOptions<C>
   readonly #follower: StoreFollower
   readonly #listeners: Array<(config: C) => void> = []
   #inForce: C | undefined
-  #hasOne: () => void = () => {}
-  /** Settles once a configuration is in force. */
-  readonly known = new Promise<void>((resolve) => { this.#hasOne = resolve })
-  /** The configuration in force as it was written, for other daemons. */
-  #text: string | undefined
+  #resolveKnown: () => void = () => {}
+  /** Resolves once a configuration is in force. */
+  readonly known = new Promise<void>((resolve) => { this.#resolveKnown = resolve })
+  /** The configuration in force in its stored encoding, sent to peers that ask for it. */
+  #encoded: string | undefined
 
   constructor (options: ConfigFollowerOptions<C>) {
     this.#options = options
     const { membership, metrics } = options
-    membership.onFact((fact, from) => { if (fact.key === FACT) this.#heard(fact.version, from) })
-    membership.links.handle('config', async () => this.#text)
+    membership.onFact((fact, from) => { if (fact.key === FACT_KEY) this.#fetchFromPeer(fact.version, from) })
+    membership.links.handle('config', async () => this.#encoded)
     this.#follower = new StoreFollower({
       store: options.store,
       prefix: options.key,
       random: options.random,
       ...(options.waitMs !== undefined && { waitMs: options.waitMs }),
-      pauseMs: () => (this.watches ? 0 : POLL_MS * (0.75 + options.random() / 2)),
-      onChange: (objects) => this.#read(objects.get(options.key)?.value, 'store'),
+      pauseMs: () => (this.watchesStore ? 0 : POLL_MS * (0.75 + options.random() / 2)),
+      onChange: (objects) => this.#handleValue(objects.get(options.key)?.value, 'store'),
       onReach: (reached, why) => {
         metrics.revisionSure.set(reached ? 1 : 0)
         if (reached) log('store-back', { what: 'config' })
@@ -78,20 +79,20 @@
     })
   }
 
-  /** The configuration in force, once one is known. */
+  /** The configuration in force; undefined until one is known. */
   get inForce (): C | undefined { return this.#inForce }
 
-  /** Milliseconds since the store last confirmed that no newer revision exists; undefined when it never did. */
+  /** Milliseconds since the store last confirmed that no newer revision exists; undefined if it never has. */
   get confirmedAgeMs (): number | undefined {
     const { confirmedAtMs } = this.#follower
     return confirmedAtMs === -Infinity ? undefined : steadyNow() - confirmedAtMs
   }
 
-  /** True while the store confirmed lately that no newer revision exists. */
-  get sure (): boolean { return steadyNow() - this.#follower.confirmedAtMs < SURE_FOR_MS }
+  /** True if the store has recently confirmed that no newer revision exists. */
+  get sure (): boolean { return steadyNow() - this.#follower.confirmedAtMs < CONFIRMATION_TTL_MS }
 
-  /** True for the few daemons that watch the store. */
-  get watches (): boolean {
+  /** True if this daemon is one of the few in its failure domain that watch the store. */
+  get watchesStore (): boolean {
     const { self, hash, membership } = this.#options
     const domain = membership.core.self.failureDomain
     const peers = membership.working.filter((member) => member.failureDomain === domain)
@@ -104,20 +105,20 @@
     this.#listeners.push(listener)
   }
 
-  /** Reads the configuration and keeps following it. */
+  /** Starts following the configuration. */
   start (): void {
     this.#follower.start()
   }
 
-  /** Stops following. */
+  /** Stops following the configuration. */
   stop (): void {
     this.#follower.stop()
   }
 
   /**
-   * Puts a configuration in force if it is newer than the one that is.
-   * @param text The configuration as it was written.
-   * @param from Where it came from, for the log.
+   * Puts a configuration in force if it is newer than the current one.
+   * @param text The configuration in its stored encoding.
+   * @param from Source of the configuration, for the log.
    */
   adopt (text: string, from: string): void {
     this.#putInForce(text, this.#options.decode(text), from)
@@ -127,21 +128,26 @@
     if (newest(this.#inForce, config) !== config) return
     const before = this.#inForce?.revision ?? 0
     this.#inForce = config
-    this.#text = text
+    this.#encoded = text
     log('config-in-force', { revision: config.revision, before, from })
     this.#options.metrics.revision.set(config.revision)
     for (const listener of this.#listeners) listener(config)
-    this.#hasOne()
-    this.#options.membership.tell({ key: FACT, version: config.revision, value: null })
-    if (this.#options.tellsRevision ?? true) this.#options.membership.setSelf({ revision: config.revision })
+    this.#resolveKnown()
+    this.#options.membership.tell({ key: FACT_KEY, version: config.revision, value: null })
+    if (this.#options.publishesRevision ?? true) this.#options.membership.setSelf({ revision: config.revision })
   }
 
-  #read (text: string | undefined, from: string): void {
+  #handleValue (text: string | undefined, from: string): void {
     const config = text === undefined ? undefined : this.#decode(text)
     if (config) this.#putInForce(text!, config, from)
   }
 
-  /** Whatever is wrong with a configuration, or with its decoder, all daemons read the same: thrown on, it would end each of them again and again. */
+  /**
+   * Decodes a configuration; logs and ignores one that cannot be decoded.
+   *
+   * All daemons read the same value, so any error, even one of the decoder itself, would otherwise crash every daemon, again after each
+   * restart.
+   */
   #decode (text: string): C | undefined {
     try {
       return this.#options.decode(text)
@@ -151,14 +157,14 @@
     }
   }
 
-  /** A daemon told of a newer revision: it has it, so ask it and spare the store. */
-  async #heard (revision: number, from: DaemonId): Promise<void> {
+  /** Fetches a newer revision from the peer that announced it, which saves a read of the store. */
+  async #fetchFromPeer (revision: number, from: DaemonId): Promise<void> {
     if (revision <= (this.#inForce?.revision ?? 0)) return
     const { membership } = this.#options
-    const teller = membership.core.member(from)
-    if (!teller) return
+    const peer = membership.core.member(from)
+    if (!peer) return
     try {
-      this.#read(await membership.links.call(teller, 'config', null) as string | undefined, from)
+      this.#handleValue(await membership.links.call(peer, 'config', null) as string | undefined, from)
     } catch (err) {
       log('config-not-told', { revision, from, why: (err as Error).message })
     }
--- a/daemon/config/config_follower_test.ts
+++ b/daemon/config/config_follower_test.ts
@@ -20,8 +20,8 @@
   return { revision }
 }
 
-test('a configuration that breaks its decoder is refused, and the next one is put in force', async () => {
-  // Guards against a configuration that ends each daemon that reads it.
+test('a configuration whose decoder throws is refused, and the next one is put in force', async () => {
+  // Guards against a configuration that crashes every daemon that reads it.
   const store = new StandInStore()
   let version = await store.create(KEY, '{"revision":1}')
   const follower = new ConfigFollower({ self: as<DaemonId>('d'), store, key: KEY, decode, membership, metrics: createMetrics(), hash: () => 0, random: () => 0.5 })
@@ -35,13 +35,13 @@
   follower.stop()
 })
 
-type Trouble = 'none' | 'stale' | 'lost' | 'replayed' | 'failed'
+type StoreFault = 'none' | 'stale' | 'lost' | 'replayed' | 'failed'
 
-/** A store whose answers may be old, empty though something changed, or told again. */
-class TroubledStore implements ObjectSource {
+/** A store whose answers may be stale, empty despite a change, repeated or failed. */
+class FaultyStore implements ObjectSource {
   readonly #written: StoredObject[] = []
-  trouble: Trouble = 'none'
-  /** Called with the object of each answer that has one. */
+  fault: StoreFault = 'none'
+  /** Called with each object that an answer contains. */
   onAnswer: (object: StoredObject) => void = () => {}
 
   write (revision: number): void {
@@ -50,22 +50,22 @@
 
   async snapshot (): Promise<Snapshot> {
     await this.#answerLater()
-    return this.#at(this.trouble === 'stale' ? Math.max(1, this.#written.length - 2) : this.#written.length)
+    return this.#at(this.fault === 'stale' ? Math.max(1, this.#written.length - 2) : this.#written.length)
   }
 
   async changes (_prefix: string, { after }: { after: number }): Promise<Changes> {
     await this.#answerLater()
     const newest = this.#written.length
-    if (this.trouble === 'lost') return { objects: [], removed: [], version: newest }
-    const from = this.trouble === 'replayed' ? Math.max(0, after - 3) : after
-    const changes = this.#written.slice(from, this.trouble === 'replayed' ? Math.max(from + 1, after - 1) : newest)
+    if (this.fault === 'lost') return { objects: [], removed: [], version: newest }
+    const from = this.fault === 'replayed' ? Math.max(0, after - 3) : after
+    const changes = this.#written.slice(from, this.fault === 'replayed' ? Math.max(from + 1, after - 1) : newest)
     for (const object of changes) this.onAnswer(object)
     return { objects: changes, removed: [], version: Math.max(after, newest) }
   }
 
   async #answerLater (): Promise<void> {
     await delay(50)
-    if (this.trouble === 'failed') throw new StoreError('Cannot read: no answer', { failure: 'unsure' })
+    if (this.fault === 'failed') throw new StoreError('Cannot read: no answer', { failure: 'unsure' })
   }
 
   #at (version: number): Snapshot {
@@ -75,36 +75,37 @@
   }
 }
 
-test('the revision in force never goes back, and is the newest once the store answers truly', async () => {
-  // Guards against old answers: whoever believes the last one goes back, as its twin does here.
-  const troubles: Trouble[] = ['none', 'stale', 'lost', 'replayed', 'failed']
-  const steps = fc.array(fc.record({ trouble: fc.constantFrom(...troubles), write: fc.boolean(), forMs: fc.integer({ min: 20, max: 900 }) }), { minLength: 5, maxLength: 25 })
-  let twinWentBack = 0
+test('the revision in force never decreases, and is the newest once the store answers correctly', async () => {
+  // Guards against stale answers reverting the configuration. `naiveRevision` follows the last answer and does revert, which shows that the
+  // schedules contain such answers.
+  const faults: StoreFault[] = ['none', 'stale', 'lost', 'replayed', 'failed']
+  const steps = fc.array(fc.record({ fault: fc.constantFrom(...faults), write: fc.boolean(), forMs: fc.integer({ min: 20, max: 900 }) }), { minLength: 5, maxLength: 25 })
+  let naiveReverts = 0
   await fc.assert(fc.asyncProperty(steps, async (schedule) => {
-    const store = new TroubledStore()
+    const store = new FaultyStore()
     let newest = 1
-    let twin = 0
+    let naiveRevision = 0
     store.write(newest)
     store.onAnswer = ({ value }) => {
       const { revision } = JSON.parse(value) as { revision: number }
-      if (revision < twin) twinWentBack++
-      twin = revision
+      if (revision < naiveRevision) naiveReverts++
+      naiveRevision = revision
     }
     const read = (text: string) => JSON.parse(text) as { revision: number }
     const follower = new ConfigFollower({ self: as<DaemonId>('d'), store, key: KEY, decode: read, membership, metrics: createMetrics(), hash: () => 0, random: () => 0.5, waitMs: 200 })
     const inForce: number[] = []
     follower.onChange(({ revision }) => inForce.push(revision))
     follower.start()
-    for (const { trouble, write, forMs } of schedule) {
-      store.trouble = trouble
+    for (const { fault, write, forMs } of schedule) {
+      store.fault = fault
       if (write) store.write(newest += 2)
       await vi.advanceTimersByTimeAsync(forMs)
     }
-    store.trouble = 'none'
+    store.fault = 'none'
     await vi.advanceTimersByTimeAsync(15_000)
     follower.stop()
     expect(inForce).toEqual([...inForce].sort((a, b) => a - b))
     expect(follower.inForce).toEqual({ revision: newest })
   }), { seed: 33, numRuns: 150 })
-  expect(twinWentBack).toBeGreaterThan(0)
+  expect(naiveReverts).toBeGreaterThan(0)
 })
--- a/daemon/config/config_task.ts
+++ b/daemon/config/config_task.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest accepted configuration in force on this daemon and accepts changes to it. */
+/** Keeps the newest accepted configuration in force on this daemon and accepts operators' changes to it. */
 import { randomUUID } from 'node:crypto'
 import {
   configSchema, diff, InvalidError, nextAccepted, validate,
@@ -23,11 +23,11 @@
   random: () => number
 }
 
-/** Another operator's change came first. */
+/** Thrown if another operator's change was accepted first. */
 export class ConfigConflictError extends Error {
   override name = 'ConfigConflictError'
   readonly revision: number
-  /** From the other operator's configuration to the one refused. */
+  /** Changes from the other operator's configuration to the refused one. */
   readonly difference: FieldChange[]
 
   constructor (current: Accepted | undefined, wanted: Config) {
@@ -38,32 +38,32 @@
   }
 }
 
-/** The store did not say whether the change was accepted. */
+/** Thrown if the store's answers do not show whether the change was accepted. */
 export class ConfigUnsureError extends Error {
   override name = 'ConfigUnsureError'
 }
 
-/** How far a revision has come. */
+/** How many of the live daemons (`of`) have a revision in force (`daemons`). */
 export interface InForce { revision: number, daemons: number, of: number }
 
-const KEY = 'config/current'
+const CONFIG_KEY = 'config/current'
 
-/** Follows the configuration and accepts changes to it. */
+/** Follows the stored configuration and applies changes by conditional updates. */
 export class ConfigTask {
   readonly #options: ConfigTaskOptions
   readonly #follower: ConfigFollower<Accepted>
-  #auditedTo = 0
+  #auditedRevision = 0
 
   constructor (options: ConfigTaskOptions) {
     this.#options = options
-    this.#follower = new ConfigFollower({ ...options, key: KEY, decode: (value) => (JSON.parse(value) as Marked<Accepted>).data })
-    this.#follower.onChange(() => this.#audit())
+    this.#follower = new ConfigFollower({ ...options, key: CONFIG_KEY, decode: (value) => (JSON.parse(value) as Marked<Accepted>).data })
+    this.#follower.onChange(() => this.#auditChanges())
   }
 
-  /** The configuration in force, once one is known. */
+  /** The configuration in force; undefined until one is known. */
   get inForce (): Accepted | undefined { return this.#follower.inForce }
 
-  /** True while the store confirmed lately that no newer revision exists. */
+  /** True if the store has recently confirmed that no newer revision exists. */
   get sure (): boolean { return this.#follower.sure }
 
   /** Registers a listener for each new revision. */
@@ -71,22 +71,22 @@
     this.#follower.onChange(listener)
   }
 
-  /** Reads the configuration and keeps following it. */
+  /** Starts following the configuration. */
   start (): void {
     this.#follower.start()
   }
 
-  /** Stops following. */
+  /** Stops following the configuration. */
   stop (): void {
     this.#follower.stop()
   }
 
   /**
-   * Accepts a change by one conditional update.
-   * @param options.base Revision that the operator saw; a newer one refuses the change.
-   * @throws {InvalidError} When the configuration is wrong; nothing was changed.
-   * @throws {ConfigConflictError} When another change came first; nothing was changed.
-   * @throws {ConfigUnsureError} When the store cannot be read back.
+   * Applies a change with one conditional update.
+   * @param options.base Revision that the operator edited; the change is refused if it is not the current one.
+   * @throws {InvalidError} If the configuration is invalid; nothing was changed.
+   * @throws {ConfigConflictError} If another change was accepted first; nothing was changed.
+   * @throws {ConfigUnsureError} If the outcome of the write is unknown because the store cannot be read back.
    */
   async apply (value: unknown, options: { operator: string, base?: number }): Promise<Accepted> {
     const id = randomUUID()
@@ -99,15 +99,15 @@
     }
   }
 
-  /** How many daemons have a revision in force, by what they told. */
+  /** Counts the daemons that have published the revision, or a newer one, as in force. */
   reach (revision: number): InForce {
     const alive = this.#options.membership.core.members.filter((member) => member.state === 'up' || member.state === 'draining')
     return { revision, daemons: alive.filter((member) => member.revision >= revision).length, of: alive.length }
   }
 
   async #accept (config: Config, options: { id: string, operator: string, base?: number }): Promise<Accepted> {
-    const found = await this.#options.store.get(KEY)
-    const current = found && dataOf(found)
+    const found = await this.#options.store.get(CONFIG_KEY)
+    const current = found && parseAccepted(found)
     if (options.base !== undefined && options.base !== (current?.revision ?? 0)) throw new ConfigConflictError(current, config)
     const { id, operator } = options
     const next = nextAccepted(current, config, { id, operator, atMs: Date.now() })
@@ -122,7 +122,7 @@
 
   async #write (next: Accepted, options: { id: string, version: number }) {
     try {
-      return await writeSurely(this.#options.store, KEY, { writeId: options.id, data: next, version: options.version })
+      return await writeSurely(this.#options.store, CONFIG_KEY, { writeId: options.id, data: next, version: options.version })
     } catch (err) {
       if (isStoreFailure(err, 'unsure')) throw new ConfigUnsureError('Cannot tell whether the configuration was accepted: the store does not answer; see `config show` later', { cause: err })
       throw err
@@ -135,15 +135,15 @@
     await this.#options.audit.write({ kind, id: attempt.id, who: attempt.operator, atMs: Date.now(), fromRevision: this.inForce?.revision ?? 0, what })
   }
 
-  /** The few daemons that watch write the records of accepted changes; the others would only repeat them. */
-  #audit (): void {
-    const changes = this.inForce?.changes.filter((change) => change.toRevision > this.#auditedTo) ?? []
-    if (changes.length === 0 || !this.#follower.watches) return
-    this.#auditedTo = changes.at(-1)!.toRevision
-    this.#options.audit.repair(changes)
+  /** Writes missing audit records of accepted changes; only daemons that watch the store do so, to avoid duplicate writes. */
+  #auditChanges (): void {
+    const changes = this.inForce?.changes.filter((change) => change.toRevision > this.#auditedRevision) ?? []
+    if (changes.length === 0 || !this.#follower.watchesStore) return
+    this.#auditedRevision = changes.at(-1)!.toRevision
+    this.#options.audit.restoreMissing(changes)
   }
 }
 
-function dataOf (object: StoredObject): Accepted {
+function parseAccepted (object: StoredObject): Accepted {
   return (JSON.parse(object.value) as Marked<Accepted>).data
 }
--- a/daemon/config/config_task_test.ts
+++ b/daemon/config/config_task_test.ts
@@ -14,7 +14,7 @@
 const revisions = () => session.daemons.map((daemon) => daemon.config.inForce?.revision)
 const changed = () => ({ ...sessionConfig(), wantsLeast: 'cost' as const })
 
-/** Lets an apply run to its end under the paused clock. */
+/** Applies a configuration and advances the fake clock until the call completes. */
 async function apply (which: number, value: unknown, base?: number): Promise<unknown> {
   const result = session.daemons[which]!.config.apply(value, { operator: `op-${which}`, ...(base !== undefined && { base }) }).catch((err: unknown) => err)
   await session.advance(1500)
@@ -27,8 +27,8 @@
   expect(session.daemons[0]!.config.reach(2)).toEqual({ revision: 2, daemons: 3, of: 3 })
 })
 
-test('operators who race: one change is accepted, the other is shown it', async () => {
-  // Two operators edit revision 1 at once. Without the conditional update the later write would silently undo the earlier one.
+test('of two concurrent changes one is accepted, and the other operator is shown the difference', async () => {
+  // Two operators edit revision 1 concurrently. Without the conditional update the later write would silently overwrite the earlier one.
   const both = [session.daemons[0]!, session.daemons[1]!].map((daemon, i) => daemon.config.apply({ ...changed(), deployment: `by-${i}` }, { operator: `op-${i}`, base: 1 }).catch((err: unknown) => err))
   await session.advance(1500)
   const results = await Promise.all(both)
@@ -38,8 +38,8 @@
   expect(revisions()).toEqual([2, 2, 2])
 })
 
-test('an accepted change reaches all although the store goes down right after', async () => {
-  // The operator is told "accepted"; the store is gone a moment later, and the watches with it. The accepting daemon tells the others.
+test('an accepted change reaches all daemons although the store goes down right after', async () => {
+  // The operator is told "accepted", and then the store and its watches fail. The accepting daemon must announce the change to the others.
   const applying = session.daemons[2]!.config.apply(changed(), { operator: 'op' })
   await session.advance(5)
   session.store.faults.down = true
@@ -48,10 +48,10 @@
   expect(revisions()).toEqual([2, 2, 2])
 })
 
-test('a daemon that starts during an outage has the newest configuration from the others, and says that it is not sure', async () => {
+test('a daemon that starts during a store outage gets the newest configuration from its peers, and reports that it is not confirmed', async () => {
   await apply(0, changed())
   session.store.faults.down = true
-  // Its registration cannot be read either: it finds the others as it would by its settings.
+  // Member registrations cannot be read either, so the peer's address is given directly, as a seed in the settings would.
   await session.startDaemon('a')
   const started = session.daemons.at(-1)!
   started.membership.links.keep([session.daemons[0]!.membership.core.self.address])
@@ -61,13 +61,13 @@
   expect((await started.status()).revisionSure).toBe(false)
 })
 
-test('a change whose answer was lost is found again and reported as accepted, once', async () => {
+test('a change whose response was lost is read back and reported as accepted, once', async () => {
   session.store.faults.loseAnswers = 1
   expect(await apply(0, changed())).toMatchObject({ revision: 2 })
   expect(revisions()).toEqual([2, 2, 2])
 })
 
-test('a parted daemon takes the change when it can, and never goes back', async () => {
+test('a partitioned daemon gets the change once the network heals, and never reverts it', async () => {
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
   session.network.part(a, c, true)
   session.network.part(b, c, true)
@@ -78,7 +78,7 @@
   expect(revisions()).toEqual([2, 2, 2])
 })
 
-test('the audit trail has accepted and refused changes, and one that its daemon did not live to record', async () => {
+test('the audit trail has accepted and refused changes, and one whose daemon crashed before recording it', async () => {
   await apply(0, { ...changed(), classes: [] })
   await apply(1, changed(), 7)
   await apply(1, changed())
@@ -94,7 +94,7 @@
   ])
 })
 
-test('a configuration with any wrong field is refused whole', async () => {
+test('a configuration with any invalid field is refused as a whole', async () => {
   expect(await apply(0, { ...changed(), classes: [] })).toBeInstanceOf(InvalidError)
   expect(revisions()).toEqual([1, 1, 1])
 })
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -226,7 +226,7 @@
     watchersPerDomain: Infinity,
     // Operators write to the store directly and query no daemon. Publishing each revision would cost every daemon a member record and a log
     // line for every other daemon.
-    tellsRevision: false
+    publishesRevision: false
   })
 }
 
--- a/daemon/exchange/exchange_server.ts
+++ b/daemon/exchange/exchange_server.ts
@@ -117,7 +117,10 @@
     refuse(res, { status: refusal.status, retryAfterMs: refusal.retryAfterMs, why: refusal.message, closeConnection: this.#draining || !req.complete })
   }
 
-  /** Answers 500 after an internal error. Rethrown, the error would end this process, and then each daemon to which the caller resends the request. */
+  /**
+   * Answers 500 after an internal error. Rethrown, the error would end this process, and then each daemon to which the caller resends the
+   * request.
+   */
   #failRequest (res: ServerResponse, err: Error, facts: RequestHead | undefined): void {
     logRequest(facts?.id ?? 'unknown', 'request-broke', { why: err.message, stack: err.stack })
     if (res.headersSent) res.destroy()
