--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: the composition root, start, drain and stop. */
+/** One daemon: composition root, start, drain and stop. */
 import { randomUUID } from 'node:crypto'
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -31,7 +31,7 @@
 import { seededRandom } from './seeded_random.ts'
 import type { Settings } from './settings.ts'
 import { classOf } from '../core/config/index.ts'
-import { statusOf, type StatusReport } from './status.ts'
+import { buildStatus, type StatusReport } from './status.ts'
 import { delay, steadyNow } from '../core/time/index.ts'
 
 /** Addresses that a daemon listens on. */
@@ -40,24 +40,24 @@
 /** Options of {@linkcode Daemon.start}. */
 export interface DaemonOptions {
   settings: Settings
-  /** Seed of the daemon's random choices. Default: chosen by the system. */
+  /** Seed of the daemon's random number generator. Default: the current time. */
   seed?: number
-  /** Platform of its own, for tests and demos. Default: HTTP clients of the addresses in the settings. */
+  /** Replacements of the platform's APIs, for tests and demos. Default: HTTP clients for the addresses in the settings. */
   store?: ObjectStore
   cloud?: Cloud
-  /** Connections to other daemons, to endpoints. Default: over the network. */
+  /** Replacements of the connections to other daemons and to endpoints. Default: over the network. */
   links?: Links
   engine?: (view: EndpointView) => ModelEngine
   service?: (view: EndpointView) => PlainService
   dial?: (address: string) => Promise<DialResult>
-  /** Serve callers and operators over HTTP. Default true. */
+  /** Serve the callers' and operators' APIs over HTTP. Default true. */
   http?: boolean
-  /** Part of the daemon's id that tells its runs apart. Default: random. */
+  /** Suffix of the daemon's id that distinguishes its restarts. Default: random. */
   run?: string
 }
 
-/** What one daemon may spend on the store; see docs/CAPACITY.md for the fleet's sum. */
-const BUDGETS: Record<StoreUse, StoreBudget> = {
+/** Rate limits of one daemon's calls to the store, by use; docs/CAPACITY.md has the total of the fleet. */
+const STORE_BUDGETS: Record<StoreUse, StoreBudget> = {
   config: { perS: 2, burst: 10 },
   once: { perS: 100, burst: 100 },
   audit: { perS: 2, burst: 20 },
@@ -67,14 +67,14 @@
   quarantine: { perS: 0.5, burst: 4 }
 }
 
-/** Time for the balancer to see that the daemon is not ready, in milliseconds. */
-const BALANCER_MS = 1500
-/** Kept back at the end of the drain for handing over and for the callers to be told. */
-const HAND_OVER_MS = 3000
+/** Time for the balancer to notice that the daemon is not ready, in milliseconds. */
+const READINESS_PROPAGATION_MS = 1500
+/** Time reserved at the end of the drain for handing streams over and notifying their callers, in milliseconds. */
+const HANDOVER_RESERVE_MS = 3000
 const DRAIN_POLL_MS = 50
 
-/** Parts of one daemon, by name, as the container holds them. */
-interface Parts {
+/** Components of one daemon, keyed by their registration name in the container. */
+interface DaemonComponents {
   settings: Settings
   self: DaemonId
   hash: Hash32
@@ -105,24 +105,24 @@
 
 /** A running daemon. */
 export class Daemon {
-  readonly #parts: Parts
+  readonly #parts: DaemonComponents
   readonly #servers: Server[] = []
   #addresses: DaemonAddresses | undefined
   #draining: Promise<void> | undefined
 
   readonly #http: boolean
-  #hasLeft: () => void = () => {}
-  /** Settles once the daemon has drained and left, whoever asked for it. */
-  readonly left = new Promise<void>((resolve) => { this.#hasLeft = resolve })
+  #resolveLeft: () => void = () => {}
+  /** Resolves once the daemon has drained and left the membership, whether by a signal or an operator's call. */
+  readonly left = new Promise<void>((resolve) => { this.#resolveLeft = resolve })
 
-  private constructor (parts: Parts, http: boolean) {
+  private constructor (parts: DaemonComponents, http: boolean) {
     this.#parts = parts
     this.#http = http
   }
 
   /**
-   * Starts a daemon and waits until it listens.
-   * @throws {Error} When a port is taken.
+   * Starts a daemon and resolves once it listens.
+   * @throws {Error} If a port is in use.
    */
   static async start (options: DaemonOptions): Promise<Daemon> {
     const { h32, h64Raw } = await xxhash()
@@ -139,16 +139,16 @@
   get table (): EndpointTable { return this.#parts.table }
   get membership (): MembershipTask { return this.#parts.membership }
   get audit (): AuditTrail { return this.#parts.audit }
-  /** True while the balancer should send work. */
+  /** True while the balancer should route callers to this daemon. */
   get ready (): boolean { return this.#draining === undefined && this.#parts.membership.joined && this.#parts.config.inForce !== undefined && this.#parts.table.all.length > 0 }
 
-  /** Drains and stops; a second call waits for the first. */
+  /** Drains and stops; later calls return the first call's promise. */
   drain (who = 'signal'): Promise<void> {
     this.#draining ??= this.#drain(who)
     return this.#draining
   }
 
-  /** Stops at once, as a crash would. */
+  /** Stops at once without draining, as in a crash. */
   async kill (): Promise<void> {
     this.#parts.config.stop()
     this.#parts.hosts.stop()
@@ -185,12 +185,12 @@
     this.#addresses = { callers, operators, peers: `${membership.core.self.address}` }
   }
 
-  /** What an operator sees. */
+  /** Builds the status report for operators. */
   async status (): Promise<StatusReport> {
     const { broker, config } = this.#parts
     const inForce = config.inForce
     const kinds = new Map(inForce?.config.pools.map(({ name, kind }) => [name, kind]))
-    return await statusOf({
+    return await buildStatus({
       ...this.#parts,
       open: broker.openCount,
       revision: inForce?.revision ?? 0,
@@ -208,8 +208,8 @@
   }
 
   /**
-   * Leaves without cutting anything: not ready first, since the balancer keeps sending for a while; then no new connections; then what
-   * can finish finishes; then the rest moves to a peer, and the callers are told to resume.
+   * Shuts down gracefully. First reports not ready, since the balancer keeps sending for a while; then refuses new requests; then waits for
+   * open requests to finish; then hands the rest over to a peer and tells their callers to resume there.
    */
   async #drain (who: string): Promise<void> {
     const { membership, broker, settings, audit } = this.#parts
@@ -217,17 +217,17 @@
     log('daemon-draining', { who, open: broker.openCount })
     membership.setSelf({ state: 'draining' })
     audit.write({ kind: 'drain', id: randomUUID(), who, atMs: Date.now(), what: { daemon: this.id } })
-    await delay(Math.min(BALANCER_MS, settings.drainMs / 4))
+    await delay(Math.min(READINESS_PROPAGATION_MS, settings.drainMs / 4))
     broker.refuseNew()
     for (const server of this.#servers) server.closeIdleConnections()
-    await this.#waitForOpen(endsAtMs - Math.min(HAND_OVER_MS, settings.drainMs / 2))
+    await this.#waitForOpenRequests(endsAtMs - Math.min(HANDOVER_RESERVE_MS, settings.drainMs / 2))
     const { heir } = broker
     if (heir) await this.#handOverTo(heir, endsAtMs)
-    else await this.#waitForOpen(endsAtMs)
+    else await this.#waitForOpenRequests(endsAtMs)
     await this.#leave(heir)
   }
 
-  /** Again and again: a stream that cannot move now, since its KV cache is on its way, may move a moment later. */
+  /** Hands streams over until none is left: one whose KV cache is being transferred cannot move yet, but may a moment later. */
   async #handOverTo (heir: Member, endsAtMs: number): Promise<void> {
     const { broker } = this.#parts
     while (broker.openCount > 0 && steadyNow() < endsAtMs) {
@@ -242,7 +242,7 @@
     broker.releaseFollowers()
     const closing = this.#servers.map(close)
     for (const server of this.#servers) server.closeIdleConnections()
-    await Promise.race([Promise.all(closing), delay(BALANCER_MS)])
+    await Promise.race([Promise.all(closing), delay(READINESS_PROPAGATION_MS)])
     for (const server of this.#servers) server.closeAllConnections()
     config.stop()
     hosts.stop()
@@ -251,30 +251,30 @@
     quarantine.stop()
     await membership.leave(heir?.id)
     log('daemon-left', { cut: broker.openCount, heir: heir?.id })
-    this.#hasLeft()
+    this.#resolveLeft()
   }
 
-  async #waitForOpen (untilMs: number): Promise<void> {
+  async #waitForOpenRequests (untilMs: number): Promise<void> {
     while (this.#parts.broker.openCount > 0 && steadyNow() < untilMs) await delay(DRAIN_POLL_MS)
   }
 }
 
-function compose (options: DaemonOptions, hash: Hash32, hash64: Hash64): Parts {
+function compose (options: DaemonOptions, hash: Hash32, hash64: Hash64): DaemonComponents {
   const { settings } = options
-  const container = createContainer<Parts>({ injectionMode: InjectionMode.PROXY })
+  const container = createContainer<DaemonComponents>({ injectionMode: InjectionMode.PROXY })
   container.register({
     settings: asValue(settings),
     self: asValue(as<DaemonId>(`${settings.name}-${options.run ?? randomUUID().slice(0, 8)}`)),
     hash: asValue(hash),
     hash64: asValue(hash64),
-    // Daemons that start with neighbouring seeds would make the same first choices.
-    random: asFunction(({ self, hash }: Parts) => seededRandom((options.seed ?? Date.now()) ^ hash(self))).singleton(),
+    // Generators with adjacent seeds produce similar first numbers, so the seed is mixed with the hash of the daemon's id.
+    random: asFunction(({ self, hash }: DaemonComponents) => seededRandom((options.seed ?? Date.now()) ^ hash(self))).singleton(),
     metrics: asFunction(createMetrics).singleton(),
     store: asFunction(() => options.store ?? new HttpStore({ url: settings.platform.objectApi })).singleton(),
     cloud: asFunction(() => options.cloud ?? new HttpCloud({ url: settings.platform.cloudApi })).singleton(),
     storeFor: asFunction(storeFor).singleton(),
-    links: asFunction(({ self, settings, metrics }: Parts) => options.links ?? new PeerLinks({ self, secret: settings.peerSecret, metrics })).singleton(),
-    membership: asFunction(({ self, settings, storeFor, links, hash, metrics, random }: Parts) => new MembershipTask({
+    links: asFunction(({ self, settings, metrics }: DaemonComponents) => options.links ?? new PeerLinks({ self, secret: settings.peerSecret, metrics })).singleton(),
+    membership: asFunction(({ self, settings, storeFor, links, hash, metrics, random }: DaemonComponents) => new MembershipTask({
       self,
       listen: { host: settings.address, port: settings.ports.peers },
       failureDomain: as<FailureDomain>(settings.failureDomain),
@@ -285,23 +285,23 @@
       metrics,
       random
     })).singleton(),
-    audit: asFunction(({ storeFor }: Parts) => new AuditTrail(storeFor('audit'))).singleton(),
-    config: asFunction((parts: Parts) => new ConfigTask(withStore(parts, 'config'))).singleton(),
-    claims: asFunction((parts: Parts) => new Claims(withStore(parts, 'once'))).singleton(),
-    table: asFunction(({ self, hash }: Parts) => new EndpointTable({ self, hash })).singleton(),
+    audit: asFunction(({ storeFor }: DaemonComponents) => new AuditTrail(storeFor('audit'))).singleton(),
+    config: asFunction((parts: DaemonComponents) => new ConfigTask(withStore(parts, 'config'))).singleton(),
+    claims: asFunction((parts: DaemonComponents) => new Claims(withStore(parts, 'once'))).singleton(),
+    table: asFunction(({ self, hash }: DaemonComponents) => new EndpointTable({ self, hash })).singleton(),
     prefixes: asFunction(() => new PrefixIndex()).singleton(),
-    dispatcher: asFunction(({ table, prefixes, random }: Parts) => new Dispatcher({
+    dispatcher: asFunction(({ table, prefixes, random }: DaemonComponents) => new Dispatcher({
       table, prefixes, router: new TargetRouter({ random })
     })).singleton(),
     engine: asFunction(() => options.engine ?? perEndpoint((view) => new HttpEngine({ url: view.address }))).singleton(),
     service: asFunction(() => options.service ?? perEndpoint((view) => new HttpService({ url: view.address }))).singleton(),
-    crashes: asFunction(({ metrics }: Parts) => new CrashWatch({ metrics, dial: options.dial ?? dial })).singleton(),
-    quarantine: asFunction(({ crashes, membership, metrics }: Parts) => new QuarantineTask({ crashes, membership, metrics })).singleton(),
-    archive: asFunction(({ storeFor, membership, quarantine }: Parts) => new QuarantineArchive({ store: storeFor('quarantine'), quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
-    broker: asFunction(({ self, hash, hash64, settings, config, membership, claims, metrics, table, dispatcher, crashes, quarantine, engine, service }: Parts) => new Broker({
+    crashes: asFunction(({ metrics }: DaemonComponents) => new CrashWatch({ metrics, dial: options.dial ?? dial })).singleton(),
+    quarantine: asFunction(({ crashes, membership, metrics }: DaemonComponents) => new QuarantineTask({ crashes, membership, metrics })).singleton(),
+    archive: asFunction(({ storeFor, membership, quarantine }: DaemonComponents) => new QuarantineArchive({ store: storeFor('quarantine'), quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
+    broker: asFunction(({ self, hash, hash64, settings, config, membership, claims, metrics, table, dispatcher, crashes, quarantine, engine, service }: DaemonComponents) => new Broker({
       self, hash, hash64, settings, config, membership, claims, metrics, ports: { table, dispatcher, crashes, quarantine }, engine, service
     })).singleton(),
-    reclaimer: asFunction(({ table, prefixes, metrics, engine, broker, config, random, membership }: Parts) => new Reclaimer({
+    reclaimer: asFunction(({ table, prefixes, metrics, engine, broker, config, random, membership }: DaemonComponents) => new Reclaimer({
       table,
       prefixes,
       metrics,
@@ -311,10 +311,10 @@
       wantsLeast: () => config.inForce?.config.wantsLeast ?? 'cost',
       sharers: () => Math.max(1, membership.working.length * Math.min(1, SUBSET_SIZE / Math.max(1, table.all.length)))
     })).singleton(),
-    hosts: asFunction(({ cloud, table, membership, random, dispatcher }: Parts) => new HostWatch({
+    hosts: asFunction(({ cloud, table, membership, random, dispatcher }: DaemonComponents) => new HostWatch({
       cloud, table, membership, random, onListed: () => dispatcher.pump()
     })).singleton(),
-    fleet: asFunction(({ self, hash, storeFor, cloud, audit, config, table, membership, engine }: Parts) => new FleetLoop({
+    fleet: asFunction(({ self, hash, storeFor, cloud, audit, config, table, membership, engine }: DaemonComponents) => new FleetLoop({
       self,
       hash,
       cloud,
@@ -323,7 +323,7 @@
       table,
       membership,
       store: storeFor('lease'),
-      // The engine's client only needs where it is.
+      // The engine's client uses only the address of the view.
       engine: (view) => engine(view as EndpointView),
       announceLeaving: (host, goneAtMs) => table.leaving([host], goneAtMs, 'notice')
     })).singleton()
@@ -335,21 +335,21 @@
   return container.cradle
 }
 
-function withStore (parts: Parts, use: StoreUse) {
+function withStore (parts: DaemonComponents, use: StoreUse) {
   const { self, settings, hash, metrics, random, links, storeFor } = parts
   return { self, settings, hash, metrics, random, links, store: storeFor(use), get audit () { return parts.audit }, get membership () { return parts.membership } }
 }
 
-function storeFor ({ store, metrics, random }: Parts): (use: StoreUse) => ObjectStore {
+function storeFor ({ store, metrics, random }: DaemonComponents): (use: StoreUse) => ObjectStore {
   return (use) => new BudgetedStore(store, {
     use,
-    budget: BUDGETS[use],
+    budget: STORE_BUDGETS[use],
     random,
     onCall: (what, kind, failed) => metrics.storeCalls.inc({ use: what, kind, failed: String(failed) })
   })
 }
 
-/** One client for each endpoint, made when it is first used. */
+/** Caches one client per endpoint, created on first use. */
 function perEndpoint<T> (make: (view: EndpointView) => T): (view: EndpointView) => T {
   const clients = new Map<EndpointId, T>()
   return (view) => {
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -30,7 +30,7 @@
 import { placingDispatcher } from '../request/placing_dispatcher.ts'
 import { StallWatch } from '../request/stall_watch.ts'
 import { seededRandom } from '../seeded_random.ts'
-import { statusOf, type StatusReport } from '../status.ts'
+import { buildStatus, type StatusReport } from '../status.ts'
 import { ExchangeServer } from './exchange_server.ts'
 import { Intake, type CatalogIndex } from './intake.ts'
 import { MonitorServer } from './monitor_server.ts'
@@ -209,7 +209,7 @@
 function proxyStatus ({ self, server, config, dispatcher, table, membership, metrics, quarantine, rollouts }: ProxyComponents): Promise<StatusReport> {
   const inForce = config.inForce
   const classes = new Map(inForce?.routes.map(({ cls }) => [cls.name, cls]))
-  return statusOf({ self, open: server.open, revision: inForce?.revision ?? 0, revisionSure: config.sure, classes: [...classes.values()], dispatcher, table, membership, metrics, quarantine, rollouts: rollouts?.follower.records.values() })
+  return buildStatus({ self, open: server.open, revision: inForce?.revision ?? 0, revisionSure: config.sure, classes: [...classes.values()], dispatcher, table, membership, metrics, quarantine, rollouts: rollouts?.follower.records.values() })
 }
 
 function configFollower ({ self, platform, relay, membership, metrics, hash, random }: ProxyComponents): ConfigFollower<Catalog> {
--- a/daemon/metrics.ts
+++ b/daemon/metrics.ts
@@ -1,24 +1,24 @@
-/** Counters, gauges and histograms of one daemon. */
+/** Prometheus metrics of one daemon. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** Most classes that have labels of their own; a configuration may name thousands, and each label costs memory in every histogram. */
-const MOST_CLASSES = 50
-const OTHER = 'other'
+/** Maximum number of classes with their own label: a configuration may name thousands, and each label costs memory in every histogram. */
+const MAX_CLASS_LABELS = 50
+const OTHER_CLASSES_LABEL = 'other'
 
-/** Builds the daemon's metrics in a registry of its own. */
+/** Creates a daemon's metrics in a new registry. */
 export function createMetrics () {
   const registers = [new Registry()]
   const counter = <L extends string>(name: string, help: string, labelNames: L[] = []) => new Counter({ name: `verbenatiller_${name}`, help, labelNames, registers })
   const gauge = <L extends string>(name: string, help: string, labelNames: L[] = []) => new Gauge({ name: `verbenatiller_${name}`, help, labelNames, registers })
   const histogram = <L extends string>(name: string, help: string, { labelNames = [], buckets }: { labelNames?: L[], buckets: number[] }) => new Histogram({ name: `verbenatiller_${name}`, help, labelNames, buckets, registers })
-  const labels = new Set<string>()
+  const labelledClasses = new Set<string>()
   return {
     registry: registers[0]!,
-    /** Label of a class; all beyond the first few share one. */
+    /** Returns the label of a class; classes beyond the first {@linkcode MAX_CLASS_LABELS} share the label `other`. */
     labelOf (cls: string): string {
-      if (labels.has(cls)) return cls
-      if (labels.size >= MOST_CLASSES) return OTHER
-      labels.add(cls)
+      if (labelledClasses.has(cls)) return cls
+      if (labelledClasses.size >= MAX_CLASS_LABELS) return OTHER_CLASSES_LABEL
+      labelledClasses.add(cls)
       return cls
     },
     requests: counter('requests_total', 'Requests by class and outcome', ['class', 'outcome']),
@@ -55,5 +55,5 @@
   }
 }
 
-/** Metrics of one daemon. */
+/** The metrics that {@linkcode createMetrics} creates. */
 export type Metrics = ReturnType<typeof createMetrics>
--- a/daemon/read_text.ts
+++ b/daemon/read_text.ts
@@ -1,10 +1,10 @@
-/** Files that operators name. */
+/** Reading of files whose paths operators give. */
 import { readFileSync } from 'node:fs'
 import { InvalidError } from '../core/config/validate.ts'
 
 /**
- * Reads a file.
- * @throws {InvalidError} When it cannot be read.
+ * Reads a UTF-8 text file.
+ * @throws {InvalidError} If the file cannot be read.
  */
 export function readText (path: string): string {
   try {
--- a/daemon/seeded_random.ts
+++ b/daemon/seeded_random.ts
@@ -1,8 +1,8 @@
-/** Random numbers that a seed repeats. */
+/** Reproducible pseudo-random numbers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { Random } from '../core/routing/index.ts'
 
-/** Random numbers in [0, 1) from a seed. */
+/** Returns a generator of pseudo-random numbers in [0, 1) that is determined by the seed. */
 export function seededRandom (seed: number): Random {
   const generator = xoroshiro128plus(seed)
   return () => (generator.next() >>> 0) / 2 ** 32
--- a/daemon/status.ts
+++ b/daemon/status.ts
@@ -1,4 +1,4 @@
-/** What an operator sees of one daemon. */
+/** Status report of one daemon, for operators. */
 import type { DaemonId, PoolName } from '../core/ids/index.ts'
 import { progressOf, type RolloutRecord } from '../core/rollout/index.ts'
 import { runningNow } from '../core/routing/index.ts'
@@ -10,16 +10,16 @@
 import type { Metrics } from './metrics.ts'
 import type { QuarantineTask } from './quarantine/index.ts'
 
-/** One class of work, in words. */
+/** Whether one class of work meets its target, and why. */
 export interface ClassStatus { name: string, target: string, met: boolean | undefined, why: string }
 
-/** One pool, and what the daemon does about its endpoints. */
+/** Endpoints and load of one pool, and how the daemon currently treats them. */
 export interface PoolStatus { name: string, live: number, leaving: number, ejected: number, running: number, slots: number, waiting: number, doing: string }
 
-/** One request that is held. */
+/** One quarantined request. */
 export interface QuarantineStatus { fingerprint: string, crashed: string[], forMs: number }
 
-/** One roll-out of a version, and how far it has come. */
+/** Progress of one rollout. */
 export interface RolloutStatus { pool: string, to: string, from: string | undefined, stage: string, why: string, granted: number }
 
 /** The whole report. */
@@ -27,7 +27,7 @@
   daemon: DaemonId
   state: string
   revision: number
-  /** False when a newer revision may exist that this daemon cannot know of. */
+  /** False if a newer revision may exist, because the store has not confirmed this one recently. */
   revisionSure: boolean
   open: number
   queued: number
@@ -35,14 +35,14 @@
   endpoints: { live: number, leaving: number, ejected: number }
   pools: PoolStatus[]
   classes: ClassStatus[]
-  /** Requests that are sent to no endpoint, since endpoints that ran them crashed. */
+  /** Requests that are sent to no endpoint, because endpoints that ran them crashed. */
   quarantined: QuarantineStatus[]
-  /** The last order for each pool. */
+  /** The latest rollout of each pool. */
   rollouts: RolloutStatus[]
 }
 
-/** What a report is made of. */
-export interface StatusSources {
+/** Options of {@linkcode buildStatus}. */
+export interface StatusOptions {
   self: DaemonId
   open: number
   revision: number
@@ -54,15 +54,15 @@
   membership: MembershipTask
   metrics: Metrics
   quarantine: Pick<QuarantineTask, 'held'>
-  /** Orders for roll-outs. Default: none. */
+  /** Rollout orders with their progress. Default: none. */
   rollouts?: Iterable<RolloutRecord> | undefined
 }
 
-/** Part of the requests that should have their first token within its target. */
-const WITHIN_TARGET = 0.95
+/** Fraction of requests whose first token or answer must come within the target latency. */
+const TARGET_FRACTION = 0.95
 
-/** Builds the report of one daemon. */
-export async function statusOf (sources: StatusSources): Promise<StatusReport> {
+/** Builds the status report of one daemon and sets the gauges that are computed on demand. */
+export async function buildStatus (sources: StatusOptions): Promise<StatusReport> {
   const now = steadyNow()
   const views = sources.table.all
   const pools = [...new Set(views.map((view) => view.pool))].map((name) => poolStatus(name, sources))
@@ -93,7 +93,7 @@
   return { pool, to, from: progress?.from, stage: progress?.stage ?? 'ordered', why: progress?.why ?? 'no daemon has begun with it', granted: progress?.granted ?? 0 }
 }
 
-function setGauges (pools: readonly PoolStatus[], { metrics, dispatcher, open }: StatusSources): void {
+function setGauges (pools: readonly PoolStatus[], { metrics, dispatcher, open }: StatusOptions): void {
   metrics.open.set(open)
   metrics.queued.set(dispatcher.queued)
   metrics.endpoints.reset()
@@ -104,7 +104,7 @@
   }
 }
 
-function poolStatus (name: PoolName, { table, dispatcher }: StatusSources): PoolStatus {
+function poolStatus (name: PoolName, { table, dispatcher }: StatusOptions): PoolStatus {
   const now = steadyNow()
   const views = table.all.filter((view) => view.pool === name)
   const staying = views.filter((view) => view.leavingAtMs === undefined)
@@ -131,7 +131,7 @@
 async function classStatus (cls: WorkClass, metrics: Metrics): Promise<ClassStatus> {
   const { latency, delivery } = cls
   const first = cls.streaming ? 'first token' : 'answer'
-  const target = `${first} within ${latency.firstTokenMs} ms for ${WITHIN_TARGET * 100} in 100, ${round(delivery * 100)} in 100 answered within ${latency.deadlineMs} ms`
+  const target = `${first} within ${latency.firstTokenMs} ms for ${TARGET_FRACTION * 100} in 100, ${round(delivery * 100)} in 100 answered within ${latency.deadlineMs} ms`
   const name = metrics.labelOf(cls.name)
   const counts = (await metrics.requests.get()).values.filter(({ labels }) => labels.class === name && labels.outcome !== 'repeated')
   const total = counts.reduce((sum, { value }) => sum + value, 0)
@@ -142,7 +142,7 @@
   const begun = firsts.reduce((sum, { value }) => sum + value, 0)
   const reasons = [
     ...(answered / total < delivery ? [`${total - answered} of ${total} were not answered`] : []),
-    ...(within / begun < WITHIN_TARGET ? [`${begun - within} of ${begun} had their ${first} late`] : [])
+    ...(within / begun < TARGET_FRACTION ? [`${begun - within} of ${begun} had their ${first} late`] : [])
   ]
   return { name: cls.name, target, met: reasons.length === 0, why: reasons.join('; ') || `${answered} of ${total} answered, ${first} in time for ${within} of ${begun}` }
 }
