--- a/daemon/api/answer_writer.ts
+++ b/daemon/api/answer_writer.ts
@@ -1,16 +1,16 @@
-/** Writes a growing answer to a caller, as server-sent events or as one document. */
+/** Writes a live answer to a caller, as server-sent events or as one JSON document. */
 import type { ServerResponse } from 'node:http'
 import type { LiveAnswer } from '../request/live_answer.ts'
 import { problemBody, problemOf, sendProblem } from './problem.ts'
 
-/** Milliseconds after which a caller whose stream moved should connect again. */
+/** SSE `retry` delay after which a caller whose stream moved to another daemon should reconnect, in milliseconds. */
 const RECONNECT_MS = 100
 
 /**
- * Streams an answer from an offset.
+ * Streams an answer as server-sent events, from a token offset on.
  *
- * The writer reads from the answer at the caller's pace and never queues behind a full socket: a slow reader costs the answer's own
- * memory, which is bounded, and nothing more. Tokens that arrive together are written together.
+ * Tokens are read from the answer only while the socket accepts writes, so a slow reader needs no memory beyond the answer itself, which is
+ * bounded. Tokens that arrive in the same event-loop turn are written as one event.
  */
 export function streamAnswer (res: ServerResponse, answer: LiveAnswer, from: number): void {
   let cursor = from
@@ -18,14 +18,14 @@
   let writable = true
   const flush = () => {
     scheduled = false
-    if (res.closed || !writable || !begin(res, answer)) return
+    if (res.closed || !writable || !tryWriteHeaders(res, answer)) return
     if (answer.tokens.length > cursor) {
       const tokens = answer.tokens.slice(cursor)
       cursor = answer.tokens.length
       writable = res.write(`id: ${cursor}\ndata: ${JSON.stringify({ tokens })}\n\n`)
     }
     if (answer.final && writable) finishStream(res, answer)
-    else if (answer.movedAway && writable) moveStream(res)
+    else if (answer.movedAway && writable) endMovedStream(res)
   }
   const schedule = () => {
     if (scheduled) return
@@ -41,7 +41,7 @@
   schedule()
 }
 
-/** Waits for the whole answer and writes it as one document. */
+/** Waits for the complete answer and sends it as one JSON document. */
 export function sendAnswer (res: ServerResponse, answer: LiveAnswer): void {
   const check = () => {
     if (res.headersSent) return
@@ -59,8 +59,11 @@
   check()
 }
 
-/** Holds the headers back until an endpoint works on the request, so that a refusal still has its own status. */
-function begin (res: ServerResponse, answer: LiveAnswer): boolean {
+/**
+ * Writes the headers once an endpoint has started on the request, so that a refusal before that can have its own status. Returns true if they
+ * are written.
+ */
+function tryWriteHeaders (res: ServerResponse, answer: LiveAnswer): boolean {
   if (res.headersSent) return true
   if (answer.final && answer.final.outcome !== 'answered' && answer.tokens.length === 0) {
     sendProblem(res, problemOf(answer.id, answer.final))
@@ -77,6 +80,6 @@
   else res.end(`event: problem\ndata: ${problemBody(problemOf(answer.id, final))}\n\n`)
 }
 
-function moveStream (res: ServerResponse): void {
+function endMovedStream (res: ServerResponse): void {
   res.end(`event: moved\nretry: ${RECONNECT_MS}\ndata: {}\n\n`)
 }
--- a/daemon/api/answer_writer_test.ts
+++ b/daemon/api/answer_writer_test.ts
@@ -5,7 +5,7 @@
 import { streamAnswer } from './answer_writer.ts'
 import { RemoteAnswer } from '../request/live_answer.ts'
 
-/** A caller's connection whose socket takes one write and is then full until it drains. */
+/** A response whose socket accepts one write and is then full until it drains. */
 class SlowResponse extends EventEmitter {
   headersSent = false
   closed = false
@@ -54,8 +54,8 @@
   return { res, answer, add }
 }
 
-test('a slow reader gets everything in order, and nothing is queued for it meanwhile', async () => {
-  // A daemon runs out of memory: a caller on a bad line reads a long review slowly, and every token is queued on its socket.
+test('a slow reader gets all tokens in order, and nothing is buffered for it meanwhile', async () => {
+  // Guards against running out of memory: a caller on a slow connection reads a long answer, and every token is buffered on its socket.
   const { res, answer, add } = follow()
   for (let i = 0; i < 500; i++) await add(i, [`t${i}`])
   expect(res.writes).toHaveLength(1)
@@ -71,13 +71,13 @@
   expect(res.writes.length).toBeLessThan(5)
 })
 
-test('a caller that resumes gets what comes after its last event, and no more', async () => {
+test('a caller that resumes gets only the tokens after its last event', async () => {
   const { res, add } = follow(2)
   await add(0, ['a', 'b', 'c'])
   expect(tokensOf(res.writes)).toEqual(['c'])
 })
 
-test('a refusal before anything ran has a status of its own', async () => {
+test('a request refused before it ran gets its own HTTP status', async () => {
   const { res, answer } = follow()
   answer.take({ offset: 0, tokens: [], started: false, movedAway: false, final: { outcome: 'not-run', reason: 'no room in time', retryAfterMs: 800 } })
   await turn()
@@ -85,7 +85,7 @@
   expect(JSON.parse(res.writes.join(''))).toMatchObject({ outcome: 'not-run', retryAfterMs: 800 })
 })
 
-test('a caller whose connection is cut is followed no longer', async () => {
+test('nothing more is written once the caller has disconnected', async () => {
   const { res, add } = follow()
   await add(0, ['a'])
   res.closed = true
--- a/daemon/api/callers_api.ts
+++ b/daemon/api/callers_api.ts
@@ -1,4 +1,4 @@
-/** Callers' HTTP interface. */
+/** HTTP API for callers. */
 import { createHash } from 'node:crypto'
 import type { IncomingMessage } from 'node:http'
 import Router from '@koa/router'
@@ -10,7 +10,7 @@
 import { RefusedError, type Broker } from '../request/broker.ts'
 import type { ConfigTask } from '../config/config_task.ts'
 import type { LiveAnswer } from '../request/live_answer.ts'
-import { badRequest, sendProblem, type Problem } from './problem.ts'
+import { refusedRequest, sendProblem, type Problem } from './problem.ts'
 import type { Settings } from '../settings.ts'
 
 /** Options of {@linkcode callersApi}. */
@@ -23,7 +23,7 @@
 const submissionSchema = z.strictObject({ input: z.string().min(1), maxTokens: z.number().int().positive().optional() })
 const KEY_PATTERN = /^[\x21-\x7e]{1,255}$/
 
-/** A refusal on its way to the caller. */
+/** Carries a problem to the error handler, which sends it to the caller. */
 class ProblemError extends Error {
   override name = 'ProblemError'
   readonly problem: Problem
@@ -34,14 +34,14 @@
   }
 }
 
-/** Builds the application that answers callers. */
+/** Creates the Koa application that serves callers. */
 export function callersApi (options: CallersApiOptions): Koa {
   const { broker } = options
   const router = new Router({ prefix: '/v1' })
   router.post('/classes/:name/requests', async (ctx) => {
     const account = accountOf(ctx, options.config)
     const { input, maxTokens } = await readSubmission(ctx.req, options.settings.limits.bodyBytes)
-    const task = broker.submit({ account, className: ctx.params.name!, input, maxTokens, idempotencyKey: keyOf(ctx) })
+    const task = broker.submit({ account, className: ctx.params.name!, input, maxTokens, idempotencyKey: idempotencyKeyOf(ctx) })
     respond(ctx, broker, account, task)
   })
   router.get('/requests/:id', (ctx) => {
@@ -62,33 +62,33 @@
   })
   const app = new Koa()
   app.silent = true
-  app.use(refusals)
+  app.use(handleErrors)
   app.use(router.routes())
-  app.use((ctx) => { throw new ProblemError(badRequest(404, `no such resource: ${ctx.method} ${ctx.path}`)) })
+  app.use((ctx) => { throw new ProblemError(refusedRequest(404, `no such resource: ${ctx.method} ${ctx.path}`)) })
   return app
 }
 
-/** Follows the request, or the earlier one that holds the same idempotency key. */
+/** Sends the answer of the request, or of the earlier request that used the same idempotency key. */
 function respond (ctx: Context, broker: Broker, account: AccountId, task: LiveAnswer): void {
   ctx.respond = false
   const write = (answer: LiveAnswer) => (wantsEvents(ctx) ? streamAnswer(ctx.res, answer, lastEventId(ctx)) : sendAnswer(ctx.res, answer))
-  let decided = false
-  const decide = () => {
-    if (decided || (!task.started && !task.final)) return
-    decided = true
+  let responded = false
+  const respondOnce = () => {
+    if (responded || (!task.started && !task.final)) return
+    responded = true
     const repeats = task.final?.repeats
     const answer = repeats === undefined ? task : broker.find(repeats, account)
     if (answer) write(answer)
-    // Only now: a request that nobody follows counts as one whose caller left.
+    // Unsubscribe only after the writer has subscribed: a request without subscribers counts as abandoned by its caller.
     stop()
     if (!answer) sendProblem(ctx.res, { status: 502, title: 'Request may have been run', detail: 'the key was used before and its answer is no longer kept', outcome: 'unknown', request: task.final!.repeats! })
   }
-  const stop = task.subscribe(decide)
+  const stop = task.subscribe(respondOnce)
   ctx.res.on('close', stop)
-  decide()
+  respondOnce()
 }
 
-async function refusals (ctx: Context, next: () => Promise<unknown>): Promise<void> {
+async function handleErrors (ctx: Context, next: () => Promise<unknown>): Promise<void> {
   try {
     await next()
   } catch (err) {
@@ -101,8 +101,8 @@
 
 function problemFor (err: unknown): Problem {
   if (err instanceof ProblemError) return err.problem
-  if (err instanceof InvalidError) return badRequest(400, err.message)
-  if (err instanceof RefusedError) return { ...badRequest(err.status, err.message), retryAfterMs: err.retryAfterMs }
+  if (err instanceof InvalidError) return refusedRequest(400, err.message)
+  if (err instanceof RefusedError) return { ...refusedRequest(err.status, err.message), retryAfterMs: err.retryAfterMs }
   return { status: 500, title: 'Internal error', detail: (err as Error).message, outcome: 'unknown' }
 }
 
@@ -112,13 +112,13 @@
   const account = config.inForce?.config.accounts.find((candidate) => candidate.credentialSha256 === hash)
   if (account) return as(account.name)
   if (!config.inForce) throw new RefusedError('Cannot accept request: no configuration is in force yet', { status: 503, retryAfterMs: 1000 })
-  throw new ProblemError(badRequest(401, 'expected the credential of a client account as a bearer token'))
+  throw new ProblemError(refusedRequest(401, 'expected the credential of a client account as a bearer token'))
 }
 
-function keyOf (ctx: Context): string | undefined {
+function idempotencyKeyOf (ctx: Context): string | undefined {
   const key = ctx.get('idempotency-key')
   if (key === '') return undefined
-  if (!KEY_PATTERN.test(key)) throw new ProblemError(badRequest(400, 'Idempotency-Key: expected 1 to 255 visible characters'))
+  if (!KEY_PATTERN.test(key)) throw new ProblemError(refusedRequest(400, 'Idempotency-Key: expected 1 to 255 visible characters'))
   return key
 }
 
@@ -128,7 +128,7 @@
   try {
     value = JSON.parse(text)
   } catch (err) {
-    throw new ProblemError(badRequest(400, `body: expected JSON, ${(err as Error).message}`))
+    throw new ProblemError(refusedRequest(400, `body: expected JSON, ${(err as Error).message}`))
   }
   return validate(submissionSchema, value, 'request')
 }
@@ -138,7 +138,7 @@
   let length = 0
   for await (const part of req) {
     length += (part as Buffer).length
-    if (length > limit) throw new ProblemError(badRequest(413, `body: expected at most ${limit} bytes`))
+    if (length > limit) throw new ProblemError(refusedRequest(413, `body: expected at most ${limit} bytes`))
     parts.push(part as Buffer)
   }
   return Buffer.concat(parts).toString('utf8')
@@ -159,6 +159,6 @@
 function lastEventId (ctx: Context): number {
   const id = ctx.get('last-event-id')
   if (id === '') return 0
-  if (!/^\d{1,9}$/.test(id)) throw new ProblemError(badRequest(400, 'Last-Event-ID: expected the id of an event of this stream'))
+  if (!/^\d{1,9}$/.test(id)) throw new ProblemError(refusedRequest(400, 'Last-Event-ID: expected the id of an event of this stream'))
   return Number(id)
 }
--- a/daemon/api/callers_api_test.ts
+++ b/daemon/api/callers_api_test.ts
@@ -9,9 +9,9 @@
 beforeAll(async () => { platform = await startPlatform(adunniLevy(), { seed: 9, daemons: 2 }) })
 afterAll(async () => { await platform.stop() })
 
-interface Sent { status: number, headers: Record<string, unknown>, text: string, json: Record<string, unknown> }
+interface ApiResponse { status: number, headers: Record<string, unknown>, text: string, json: Record<string, unknown> }
 
-async function send (path: string, options: { which?: number, method?: 'GET' | 'POST' | 'DELETE', account?: string, headers?: Record<string, string>, body?: unknown, raw?: string } = {}): Promise<Sent> {
+async function send (path: string, options: { which?: number, method?: 'GET' | 'POST' | 'DELETE', account?: string, headers?: Record<string, string>, body?: unknown, raw?: string } = {}): Promise<ApiResponse> {
   const res = await request(platform.daemons[options.which ?? 0]!.addresses.callers + path, {
     method: options.method ?? 'POST',
     headers: { authorization: `Bearer ${demoCredential(options.account ?? 'ikeja-council')}`, ...options.headers },
@@ -30,18 +30,18 @@
   expect(sent).toMatchObject({ status: 200, json: { outcome: 'answered', answer: serviceAnswer('claim 17') } })
 })
 
-test('a streamed answer has ids and an explicit end, and is resumed at the other daemon from any of them', async () => {
+test('a streamed answer has event ids and an explicit end, and can be resumed from any id at another daemon', async () => {
   const sent = await send('/v1/classes/claim-review/requests', { headers: SSE, body: { input: 'review 1', maxTokens: 30 } })
   expect(tokensOf(sent.text)).toEqual(wholeAnswer('review 1', 30))
   expect(sent.text).toMatch(/event: end\ndata: \{"outcome":"answered","tokens":30\}\n\n$/)
   const id = encodeURIComponent(String(sent.headers['request-id']))
   const resumed = await send(`/v1/requests/${id}/answer`, { which: 1, method: 'GET', headers: { ...SSE, 'last-event-id': '12' } })
   expect(tokensOf(resumed.text)).toEqual(wholeAnswer('review 1', 30).slice(12))
-  const stranger = await send(`/v1/requests/${id}/answer`, { which: 1, method: 'GET', account: 'lekki-council' })
-  expect(stranger.text).not.toContain('"answer"')
+  const otherAccount = await send(`/v1/requests/${id}/answer`, { which: 1, method: 'GET', account: 'lekki-council' })
+  expect(otherAccount.text).not.toContain('"answer"')
 })
 
-test('a repeated key gets the same answer at any daemon, and another body is refused', async () => {
+test('a repeated idempotency key gets the same answer at any daemon, and is refused with another body', async () => {
   const letter = (which: number, input: string) => send('/v1/classes/letter-draft/requests', { which, headers: { 'idempotency-key': 'letter-7' }, body: { input, maxTokens: 10 } })
   const first = await letter(0, 'dear household')
   const again = await letter(1, 'dear household')
@@ -68,7 +68,7 @@
   expect(await send(...args)).toMatchObject({ status, json: { outcome: 'not-run' }, headers: { 'content-type': 'application/problem+json' } })
 })
 
-test('an operator sees readiness, metrics and status, and only with a credential of an operator', async () => {
+test('readiness and metrics are public, and status and actions require an operator credential', async () => {
   const url = platform.daemons[0]!.addresses.operators
   const get = async (path: string, credential = demoCredential('operator')) => {
     const res = await request(url + path, { headers: { authorization: `Bearer ${credential}` } })
--- a/daemon/api/operators_api.ts
+++ b/daemon/api/operators_api.ts
@@ -1,4 +1,4 @@
-/** Operators' and monitoring interface, on a port of its own. */
+/** HTTP API for operators, monitoring and the balancer, on a separate port. */
 import { createHash, randomUUID } from 'node:crypto'
 import Router from '@koa/router'
 import Koa, { type Context } from 'koa'
@@ -23,7 +23,7 @@
   membership: MembershipTask
   metrics: Metrics
   quarantine: QuarantineTask
-  /** Present while no configuration names an operator: lets the first one be applied. */
+  /** Credential that is accepted until a configuration is in force, so that the first one can be applied. */
   bootstrapSecret: string
   ready (): boolean
   drain (who: string): void
@@ -31,10 +31,10 @@
 }
 
 const MAX_BODY_BYTES = 1 << 20
-const REACH_TIMEOUT_MS = 7000
-const REACH_POLL_MS = 50
+const PROPAGATION_TIMEOUT_MS = 7000
+const PROPAGATION_POLL_MS = 50
 
-/** Builds the application that answers operators, the balancer and the monitoring. */
+/** Creates the Koa application that serves operators, monitoring and the balancer. */
 export function operatorsApi (options: OperatorsApiOptions): Koa {
   const router = new Router()
   router.get('/livez', (ctx) => { ctx.body = 'alive' })
@@ -43,7 +43,7 @@
     ctx.body = options.ready() ? 'ready' : 'not ready'
   })
   router.get('/metrics', async (ctx) => {
-    // The report sets the gauges that are only worth working out when somebody looks.
+    // Building the status report sets the gauges that are computed only on demand.
     await options.status()
     ctx.type = options.metrics.registry.contentType
     ctx.body = await options.metrics.registry.metrics()
@@ -56,13 +56,13 @@
     operatorOf(ctx, options)
     const decisions = await options.broker.explain(as(ctx.params.id!))
     if (decisions) ctx.body = { request: ctx.params.id, decisions }
-    else fail(ctx, 404, 'no daemon holds this request')
+    else sendError(ctx, 404, 'no daemon holds this request')
   })
   router.get('/config', (ctx) => {
     operatorOf(ctx, options)
     const accepted = options.config.inForce
     if (accepted) ctx.body = { ...accepted, sure: options.config.sure, reach: options.config.reach(accepted.revision) }
-    else fail(ctx, 404, 'no configuration is in force yet')
+    else sendError(ctx, 404, 'no configuration is in force yet')
   })
   router.put('/config', async (ctx) => {
     const operator = operatorOf(ctx, options)
@@ -72,12 +72,12 @@
   })
   router.get('/audit', async (ctx) => {
     operatorOf(ctx, options)
-    ctx.body = await options.audit.read(filterOf(ctx))
+    ctx.body = await options.audit.read(auditFilterOf(ctx))
   })
   router.post('/quarantine/:fingerprint/release', (ctx) => {
     const who = operatorOf(ctx, options)
     const released = as<Fingerprint>(ctx.params.fingerprint!)
-    if (!options.quarantine.release(released, who)) return fail(ctx, 404, 'no such request is quarantined')
+    if (!options.quarantine.release(released, who)) return sendError(ctx, 404, 'no such request is quarantined')
     options.audit.write({ kind: 'release', id: randomUUID(), who, atMs: Date.now(), what: { fingerprint: released } })
     ctx.body = { released }
   })
@@ -87,22 +87,22 @@
   })
   const app = new Koa()
   app.silent = true
-  app.use(refusals)
+  app.use(handleErrors)
   app.use(router.routes())
   return app
 }
 
-/** Waits until all daemons tell that the revision is in force, or as long as that may take. */
+/** Waits until all daemons report the revision as in force, or until {@linkcode PROPAGATION_TIMEOUT_MS} has passed. */
 async function inForce (config: ConfigTask, revision: number): Promise<InForce> {
-  const endsAtMs = steadyNow() + REACH_TIMEOUT_MS
+  const endsAtMs = steadyNow() + PROPAGATION_TIMEOUT_MS
   for (;;) {
     const reach = config.reach(revision)
     if (reach.daemons >= reach.of || steadyNow() > endsAtMs) return reach
-    await delay(REACH_POLL_MS)
+    await delay(PROPAGATION_POLL_MS)
   }
 }
 
-/** An operator's call without its credential. */
+/** Thrown if a request lacks the credential of an operator. */
 class ForbiddenError extends Error {
   override name = 'ForbiddenError'
 }
@@ -117,20 +117,20 @@
   return operator.name
 }
 
-async function refusals (ctx: Context, next: () => Promise<unknown>): Promise<void> {
+async function handleErrors (ctx: Context, next: () => Promise<unknown>): Promise<void> {
   try {
     await next()
   } catch (err) {
-    if (err instanceof ForbiddenError) return fail(ctx, 401, err.message)
-    if (err instanceof InvalidError) return fail(ctx, 400, err.message, { problems: err.problems })
-    if (err instanceof ConfigConflictError) return fail(ctx, 409, err.message, { revision: err.revision, difference: err.difference })
-    if (err instanceof ConfigUnsureError) return fail(ctx, 504, err.message, { outcome: 'unknown' })
-    if (err instanceof StoreError) return fail(ctx, 503, err.message, { outcome: 'not-run' })
-    fail(ctx, 500, (err as Error).message)
+    if (err instanceof ForbiddenError) return sendError(ctx, 401, err.message)
+    if (err instanceof InvalidError) return sendError(ctx, 400, err.message, { problems: err.problems })
+    if (err instanceof ConfigConflictError) return sendError(ctx, 409, err.message, { revision: err.revision, difference: err.difference })
+    if (err instanceof ConfigUnsureError) return sendError(ctx, 504, err.message, { outcome: 'unknown' })
+    if (err instanceof StoreError) return sendError(ctx, 503, err.message, { outcome: 'not-run' })
+    sendError(ctx, 500, (err as Error).message)
   }
 }
 
-function fail (ctx: Context, status: number, detail: string, more: object = {}): void {
+function sendError (ctx: Context, status: number, detail: string, more: object = {}): void {
   ctx.status = status
   ctx.body = { status, detail, ...more }
   ctx.type = 'application/problem+json'
@@ -151,7 +151,7 @@
   }
 }
 
-function filterOf (ctx: Context): AuditFilter {
+function auditFilterOf (ctx: Context): AuditFilter {
   const { kind, who, from, to } = ctx.query as Record<string, string | undefined>
   return {
     ...(kind !== undefined && { kind: kind as AuditFilter['kind'] }),
--- a/daemon/api/problem.ts
+++ b/daemon/api/problem.ts
@@ -1,10 +1,10 @@
-/** Refusals as problem details (RFC 9457) that carry the request's outcome. */
+/** Problem details (RFC 9457) that include the request's outcome. */
 import type { ServerResponse } from 'node:http'
 import type { Outcome } from '../../core/outcome/index.ts'
 import type { RequestId } from '../../core/ids/index.ts'
 import type { FinalWord } from '../request/live_answer.ts'
 
-/** One refusal. */
+/** Content of a problem document. */
 export interface Problem {
   status: number
   title: string
@@ -14,12 +14,12 @@
   retryAfterMs?: number | undefined
 }
 
-/** A caller's mistake: nothing ran. */
-export function badRequest (status: number, detail: string): Problem {
+/** Returns the problem of a request that was refused without being run. */
+export function refusedRequest (status: number, detail: string): Problem {
   return { status, title: 'Request refused', detail, outcome: 'not-run' }
 }
 
-/** Turns the final word on a request into a problem. */
+/** Converts a request's final result, other than an answer, into a problem. */
 export function problemOf (request: RequestId, final: FinalWord): Problem {
   if (final.otherBody) return { status: 422, title: 'Idempotency key used before', detail: final.reason, outcome: 'not-run', request }
   const outcome = final.outcome === 'not-run' ? 'not-run' : 'unknown'
@@ -27,13 +27,13 @@
   return { status: outcome === 'not-run' ? 503 : 502, title, detail: final.reason, outcome, request, retryAfterMs: final.retryAfterMs }
 }
 
-/** Body of a problem document. */
+/** Serializes a problem as a JSON document. */
 export function problemBody (problem: Problem): string {
   const { retryAfterMs, ...rest } = problem
   return JSON.stringify({ type: 'about:blank', ...rest, ...(retryAfterMs !== undefined && { retryAfterMs: Math.ceil(retryAfterMs) }) })
 }
 
-/** Writes a problem as a whole response. */
+/** Sends a problem as the complete response. */
 export function sendProblem (res: ServerResponse, problem: Problem): void {
   const headers: Record<string, string> = { 'content-type': 'application/problem+json' }
   if (problem.request !== undefined) headers['request-id'] = problem.request
