--- a/daemon/explain/_cause.ts
+++ b/daemon/explain/_cause.ts
@@ -1,45 +1,45 @@
 import type { RequestEvents } from '../log/index.ts'
 import type { DaemonLine, LogLine, RequestLine } from './log_lines.ts'
 
-/** What is known of a request. */
+/** Log lines from which a request's outcome is explained. */
 export interface Evidence {
-  /** Lines that name it. */
-  own: readonly RequestLine[]
-  /** What its daemons believed meanwhile. */
+  /** Lines that name the request. */
+  requestLines: readonly RequestLine[]
+  /** Lines about the state of the daemons that handled it at the time. */
   context: readonly DaemonLine[]
   /** All lines that were read. */
   lines: readonly LogLine[]
 }
 
-/** A daemon that logs nothing for so long after a request's last line is dead, in milliseconds. */
-const SILENT_MS = 3000
+/** A daemon that logs nothing for this long after a request's last line is taken to have crashed, in milliseconds. */
+const CRASH_SILENCE_MS = 3000
 
-/** A revision that comes so soon after a refusal may have been accepted before it, in milliseconds. */
+/** A revision that arrives within this time after a refusal may have been accepted before it, in milliseconds. */
 const LATE_CONFIG_MS = 5000
 
-/** Names the most likely cause of what became of a request. */
+/** Returns the most likely cause of a request's outcome. */
 export function causeOf (evidence: Evidence): string {
-  const { own, context } = evidence
-  if (own.length === 0) {
+  const { requestLines, context } = evidence
+  if (requestLines.length === 0) {
     return context.length > 0
       ? 'no line names it; lines were left out under load (lines-left-out), so it may have come in that time'
       : 'no line names it: it reached none of these daemons, or not its whole head did'
   }
-  const refused = last(own, 'request-refused')
+  const refused = last(requestLines, 'request-refused')
   if (refused) return causeOfRefusal(refused, evidence)
-  const broke = last(own, 'request-broke')
+  const broke = last(requestLines, 'request-broke')
   if (broke) return `a fault of the daemon's: ${broke.why}`
-  const ended = last(own, 'request-ended')
-  return ended ? causeOfEnd(ended, evidence) : causeOfSilence(evidence)
+  const ended = last(requestLines, 'request-ended')
+  return ended ? causeOfEnd(ended, evidence) : causeOfMissingEnd(evidence)
 }
 
-function causeOfRefusal (f: RequestEvents['request-refused'], { own, context, lines }: Evidence): string {
+function causeOfRefusal (f: RequestEvents['request-refused'], { requestLines, context, lines }: Evidence): string {
   switch (f.status) {
     case 401:
     case 404: {
       const what = f.status === 401 ? 'its credential' : 'a route for it'
-      const process = own.at(-1)!.process
-      const { atMs } = own.at(-1)!
+      const process = requestLines.at(-1)!.process
+      const { atMs } = requestLines.at(-1)!
       const newer = lines.find((line) => line.event === 'config-in-force' && line.process === process && line.atMs >= atMs && line.atMs <= atMs + LATE_CONFIG_MS)
       const age = f.revisionAgeMs === undefined ? 'never confirmed' : `confirmed ${Math.round(f.revisionAgeMs)} ms before`
       const later = newer?.event === 'config-in-force' ? `; revision ${newer.fields.revision} came ${newer.atMs - atMs} ms later` : ''
@@ -49,7 +49,7 @@
       const keeper = context.some((line) => line.event === 'keeper-silent' || line.event === 'keeper-chosen')
       return keeper
         ? `over quota: account ${f.account} had no room while the daemon that counts quotas changed`
-        : `over quota: account ${f.account} had used up what it may${roomOf(f)}`
+        : `over quota: account ${f.account} had used up what it may${describeRoom(f)}`
     }
     case 503: return 'no configuration: the daemon had just started and the store had not answered'
     case 408: return 'caller: its request did not come whole in time'
@@ -57,25 +57,25 @@
   }
 }
 
-function roomOf ({ cost, room }: RequestEvents['request-refused']): string {
+function describeRoom ({ cost, room }: RequestEvents['request-refused']): string {
   return cost === undefined || room === undefined ? '' : ` (${Math.round(room)} left, it costs ${cost})`
 }
 
 function causeOfEnd (f: RequestEvents['request-ended'], evidence: Evidence): string {
   if (f.outcome === 'answered') return causeOfAnswer(f, evidence)
-  if (f.why === 'caller left') return `caller left after ${Math.round(f.afterMs)} ms of ${Math.round(f.deadlineMs)}: ${whereTimeWent(f, evidence)}`
-  if (f.why.startsWith('deadline')) return `deadline: ${whereTimeWent(f, evidence)}`
-  const held = last(evidence.own, 'request-held')
+  if (f.why === 'caller left') return `caller left after ${Math.round(f.afterMs)} ms of ${Math.round(f.deadlineMs)}: ${describeTimeSpent(f, evidence)}`
+  if (f.why.startsWith('deadline')) return `deadline: ${describeTimeSpent(f, evidence)}`
+  const held = last(evidence.requestLines, 'request-held')
   if (held) return `caller: endpoints that ran requests like it crashed; request-quarantined of ${held.fingerprint} names them`
   if (f.why === 'no room in time') return `no room: ${describeQueue(evidence)}`
-  const failed = last(evidence.own, 'attempt-failed')
+  const failed = last(evidence.requestLines, 'attempt-failed')
   return failed ? causeOfFailure(failed, evidence) : `${f.outcome}: ${f.why}`
 }
 
 function causeOfAnswer (f: RequestEvents['request-ended'], evidence: Evidence): string {
   if (f.status !== undefined && f.status >= 500) return `endpoint: it answered ${f.status} itself`
-  const failed = last(evidence.own, 'attempt-failed')
-  const started = last(evidence.own, 'attempt-started')
+  const failed = last(evidence.requestLines, 'attempt-failed')
+  const started = last(evidence.requestLines, 'attempt-started')
   if (failed) return `answered after a repeat: ${causeOfFailure(failed, evidence)}`
   if (started?.withinTarget === false) return `answered, late for want of room: ${started.running} of ${started.slots} places taken at its endpoint`
   return 'answered whole'
@@ -96,32 +96,32 @@
   }
 }
 
-/** Which part of its time a request without an answer spent where. */
-function whereTimeWent (f: RequestEvents['request-ended'], { own }: Evidence): string {
-  const started = own.findLast((line) => line.event === 'attempt-started')
+/** Describes where a request without an answer spent its time. */
+function describeTimeSpent (f: RequestEvents['request-ended'], { requestLines }: Evidence): string {
+  const started = requestLines.findLast((line) => line.event === 'attempt-started')
   if (!started) return 'it waited for room at an endpoint all the time'
   const endpoint = started.event === 'attempt-started' ? started.fields.endpoint : ''
-  const atEndpointMs = own.at(-1)!.atMs - started.atMs
+  const atEndpointMs = requestLines.at(-1)!.atMs - started.atMs
   if (f.firstPieceMs === undefined) return `${endpoint} gave no word for ${atEndpointMs} ms`
   return `${endpoint} was still writing after ${atEndpointMs} ms (${f.pieces} pieces, longest pause ${Math.round(f.longestPauseMs ?? 0)} ms)`
 }
 
-function describeQueue ({ own }: Evidence): string {
-  const waits = last(own, 'request-waits')
+function describeQueue ({ requestLines }: Evidence): string {
+  const waits = last(requestLines, 'request-waits')
   return waits ? `it waited behind ${waits.ahead} others for one of ${waits.candidates} endpoints` : 'every endpoint was full and the wait would have been too long'
 }
 
-/** A request without a last word: its daemon was killed, froze, or the log was cut. */
-function causeOfSilence ({ own, lines }: Evidence): string {
-  const { daemon, process, atMs } = own.at(-1)!
+/** Explains a request without a `request-ended` line: its daemon was killed or hung, or the log is truncated. */
+function causeOfMissingEnd ({ requestLines, lines }: Evidence): string {
+  const { daemon, process, atMs } = requestLines.at(-1)!
   const later = lines.filter((line) => line.daemon === daemon && line.atMs > atMs)
   const other = later.find((line) => line.process !== process)
   if (other) return `daemon killed: ${daemon} ended in the middle of it, and started again ${other.atMs - atMs} ms later`
   const end = lines.at(-1)!.atMs
-  if (later.length === 0 && end - atMs > SILENT_MS) return `daemon killed or cut off: ${daemon} logged nothing after it`
+  if (later.length === 0 && end - atMs > CRASH_SILENCE_MS) return `daemon killed or cut off: ${daemon} logged nothing after it`
   return 'still under way where the log ends, or its last line was left out'
 }
 
-function last<E extends keyof RequestEvents> (own: readonly RequestLine[], event: E): RequestEvents[E] | undefined {
-  return own.findLast((line) => line.event === event)?.fields as RequestEvents[E] | undefined
+function last<E extends keyof RequestEvents> (requestLines: readonly RequestLine[], event: E): RequestEvents[E] | undefined {
+  return requestLines.findLast((line) => line.event === event)?.fields as RequestEvents[E] | undefined
 }
--- a/daemon/explain/explain_request_test.ts
+++ b/daemon/explain/explain_request_test.ts
@@ -2,33 +2,33 @@
 import { expect, test } from 'vitest'
 import { explainRequest, readLog } from './index.ts'
 
-/** Lines as daemons wrote them on days with trouble; the causes were checked against what endpoints and callers saw there. */
+/** Recorded log lines of daemons during failures; the causes were checked against what endpoints and callers observed. */
 const RECORDED = readFileSync(new URL('testdata/failing_days.jsonl', import.meta.url), 'utf8')
 const lines = readLog(RECORDED)
 const causeOf = (request: string) => explainRequest(lines, request).cause
 
 test.each([
   ['the account asked for more than its quota', '6abee8a3675869dc', 'over quota: account lera921 had used up what it may'],
-  ['the daemon that counts quotas was being replaced', 'f10d15ea44aa1ab2', 'over quota: account lera921 had no room while the daemon that counts quotas changed'],
-  ['the daemon was killed before it passed the answer on', 'cbd3c1eed65e5723', 'daemon killed: edge-yaba-3 ended in the middle of it, and started again 4417 ms later'],
-  ['both endpoints that it may be sent to failed by themselves', '3dd993a8bbf6dd77', 'endpoint: i-f01f256a90 answered 500; it may not be repeated'],
-  ['an endpoint crashed in a call that may not be repeated', 'cc846a31cb505eda', 'crash: i-61a2ed1443 broke off after 0 pieces; it may not be repeated'],
+  ['the quota keeper was being replaced', 'f10d15ea44aa1ab2', 'over quota: account lera921 had no room while the daemon that counts quotas changed'],
+  ['the daemon was killed before it forwarded the answer', 'cbd3c1eed65e5723', 'daemon killed: edge-yaba-3 ended in the middle of it, and started again 4417 ms later'],
+  ['both endpoints that it may be sent to answered with an error', '3dd993a8bbf6dd77', 'endpoint: i-f01f256a90 answered 500; it may not be repeated'],
+  ['an endpoint crashed in a call that may not be retried', 'cc846a31cb505eda', 'crash: i-61a2ed1443 broke off after 0 pieces; it may not be repeated'],
   ['an endpoint was too slow for the deadline', 'd2c3cfb34dff902f', 'caller left after 2999 ms of 3000: i-e5469dc1df was still writing after 2998 ms (12 pieces, longest pause 292 ms)'],
-  ['its credential came with a revision that the daemon got later', '31ea9625f46f67d4', 'configuration: revision 7 (confirmed 3722 ms before) does not have its credential; revision 11 came 75 ms later'],
-  ['its route came with a revision that the daemon got later', '53fdfc359cd380f7', 'configuration: revision 4 (confirmed 3014 ms before) does not have a route for it; revision 7 came 357 ms later'],
-  ['a reclaim, and the stream went on elsewhere', 'd7ffbc5fd0198a47', 'answered after a repeat: reclaim: i-7ab06e5fd4 left after 1 pieces'],
-  ['a second reclaim, after the last attempt that its route allows', 'aef027ea6e6963c8', 'reclaim: i-eb79e94eee left after 79 pieces; it may not be repeated'],
-  ['nobody has ever seen it', 'ffffffffffffffff', 'no line names it: it reached none of these daemons, or not its whole head did']
+  ['its credential was added by a revision that the daemon received later', '31ea9625f46f67d4', 'configuration: revision 7 (confirmed 3722 ms before) does not have its credential; revision 11 came 75 ms later'],
+  ['its route was added by a revision that the daemon received later', '53fdfc359cd380f7', 'configuration: revision 4 (confirmed 3014 ms before) does not have a route for it; revision 7 came 357 ms later'],
+  ['its endpoint was reclaimed, and the stream continued on another one', 'd7ffbc5fd0198a47', 'answered after a repeat: reclaim: i-7ab06e5fd4 left after 1 pieces'],
+  ['a second endpoint was reclaimed, after the last attempt that its route allows', 'aef027ea6e6963c8', 'reclaim: i-eb79e94eee left after 79 pieces; it may not be repeated'],
+  ['no daemon has logged it', 'ffffffffffffffff', 'no line names it: it reached none of these daemons, or not its whole head did']
 ])('%s', (_what, request, cause) => {
   expect(causeOf(request)).toBe(cause)
 })
 
-test('a refusal over a quota says what the request costs and what the account had left', () => {
+test('a refusal over quota states the cost of the request and the remaining quota', () => {
   const line = { level: 'warn', time: '2026-05-23T10:00:00.000Z', daemon: 'edge-1', process: 'p', event: 'request-refused', request: 'large', revision: 7, status: 429, why: 'over quota', account: 'council', class: 'review', cost: 12_000, room: 4100.6 }
   expect(explainRequest(readLog(JSON.stringify(line)), 'large').cause).toBe('over quota: account council had used up what it may (4101 left, it costs 12000)')
 })
 
-test('the steps are told in order, with what the daemon believed and for how long', () => {
+test('the steps are in order, with the configuration in force and its age', () => {
   const { steps } = explainRequest(lines, '31ea9625f46f67d4')
   expect(steps.find(({ afterMs }) => afterMs === 0)!.text).toMatch(/^refused with 401: .* \(configuration 7, confirmed 3722 ms before\)$/)
   const repeated = explainRequest(lines, 'd7ffbc5fd0198a47').steps.map(({ text }) => text.replace(/ .*/, ''))
@@ -36,18 +36,18 @@
   expect([...steps].sort((a, b) => a.afterMs - b.afterMs)).toEqual(steps)
 })
 
-test('what collectors put before a line, lines that are cut and other texts are passed over', () => {
+test('prefixes added by log collectors, truncated lines and other text are ignored', () => {
   const mixed = RECORDED.trim().split('\n').map((line) => `2026-05-23 host-7 | ${line}`).join('\n')
   const cut = RECORDED.slice(0, RECORDED.indexOf('\n') - 20)
   expect(readLog(`${mixed}\nnot a line\n${cut}`)).toEqual(lines)
 })
 
-test('a log of several daemons is read in order of time, whichever comes first', () => {
+test('lines of several daemons are sorted by time', () => {
   const turned = RECORDED.trim().split('\n').reverse().join('\n')
   expect(readLog(turned).map(({ atMs }) => atMs)).toEqual(lines.map(({ atMs }) => atMs))
 })
 
-test('an attempt at an endpoint whose entry was held in doubt is told with why and for how long', () => {
+test('an attempt at an endpoint whose vanished entry was kept shows the reason and for how long', () => {
   const started = lines.find((line) => line.event === 'attempt-started' && line.request === 'd7ffbc5fd0198a47')!
   const { endpoint } = started.fields as { endpoint: string }
   const at = (beforeMs: number, event: string, fields: object) => JSON.stringify({ level: 'info', time: new Date(started.atMs - beforeMs).toISOString(), daemon: started.daemon, process: started.process, event, ...fields })
@@ -55,7 +55,7 @@
   expect(explainRequest(doubted, 'd7ffbc5fd0198a47').steps[0]!.text).toContain('why most entries vanished, forMs 1800')
 })
 
-test('a request that is held is told with its fingerprint, by which the crashes are found', () => {
+test('a quarantined request is explained with its fingerprint, by which the crashes are found', () => {
   const line = (event: string, fields: object) => JSON.stringify({ level: 'warn', time: '2026-05-23T10:00:00.000Z', daemon: 'edge-1', process: 'p', event, request: 'again', ...fields })
   const { cause, steps } = explainRequest(readLog(`${line('request-held', { fingerprint: '00ff', forMs: 3000 })}\n${line('request-ended', { outcome: 'not-run', why: 'quarantined' })}`), 'again')
   expect(cause).toBe('caller: endpoints that ran requests like it crashed; request-quarantined of 00ff names them')
--- a/daemon/explain/log_lines.ts
+++ b/daemon/explain/log_lines.ts
@@ -1,41 +1,41 @@
-/** Reads the structured log of daemons back. */
+/** Parser of the daemons' structured logs. */
 import type { DaemonEvents, LogEvent, RequestEvents } from '../log/index.ts'
 
-/** What every line says beside its own fields. */
+/** Fields common to all lines. */
 interface LineBase {
-  /** When, in milliseconds since the epoch by that daemon's time of day. */
+  /** Time in milliseconds since the epoch, by the daemon's system clock. */
   atMs: number
   daemon: string
-  /** Changes when the daemon is restarted. */
+  /** Identifies the process; changes if the daemon restarts. */
   process: string
 }
 
-/** A decision about a request. */
+/** A line about a request. */
 export type RequestLine = { [E in keyof RequestEvents]: LineBase & { event: E, request: string, fields: RequestEvents[E] } }[keyof RequestEvents]
-/** A change of what a daemon believes, or of its own life. */
+/** A line about a daemon or the state it keeps of the system. */
 export type DaemonLine = { [E in keyof DaemonEvents]: LineBase & { event: E, request?: undefined, fields: DaemonEvents[E] } }[keyof DaemonEvents]
-/** One line of a log. */
+/** Any line that a daemon logs. */
 export type LogLine = RequestLine | DaemonLine
 
 /**
- * Reads a log, of one daemon or of several put together.
+ * Parses a log of one daemon, or the concatenated logs of several.
  *
- * Whatever stands before a line's object is passed over, as collectors put a time or a host's name there; so are lines that are no objects.
- * @returns The lines in order of time.
+ * Text before a line's JSON object, such as a time or host name added by a log collector, is ignored, as are lines without an object.
+ * @returns The lines, sorted by time.
  */
 export function readLog (text: string): LogLine[] {
-  const lines = text.split('\n').flatMap((line) => lineOf(line) ?? [])
+  const lines = text.split('\n').flatMap((line) => parseLine(line) ?? [])
   return lines.sort((a, b) => a.atMs - b.atMs)
 }
 
-function lineOf (text: string): LogLine | undefined {
+function parseLine (text: string): LogLine | undefined {
   const from = text.indexOf('{"level"')
   if (from < 0) return undefined
   try {
     const { level: _level, time, daemon, process, event, request, ...fields } = JSON.parse(text.slice(from)) as Record<string, unknown> & { time: string, event: LogEvent }
     return { atMs: Date.parse(time), daemon, process, event, request, fields } as LogLine
   } catch {
-    // The last line of a process that was killed may be cut.
+    // The last line of a killed process may be truncated.
     return undefined
   }
 }
