--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -15,7 +15,7 @@
 import { shareLeavingNews } from '../endpoints/leaving_news.ts'
 import { LeaseTask } from '../fleet/lease_task.ts'
 import { AccountLimits } from '../limits/account_limits.ts'
-import { ProcessorLog } from '../log/index.ts'
+import { CpuTimeLog } from '../log/index.ts'
 import { createMetrics, type Metrics } from '../metrics.ts'
 import { LeaseWords } from '../peers/lease_words.ts'
 import { LoadTask } from '../peers/load_task.ts'
@@ -76,7 +76,7 @@
   server: ExchangeServer
   readiness: ReadinessServer
   monitor: MonitorServer
-  processor: ProcessorLog
+  processor: CpuTimeLog
   lease: LeaseTask
   usage: UsageTask
   orders: OrderTask
@@ -171,7 +171,7 @@
     server: asFunction(({ intake, metrics }: ProxyComponents) => new ExchangeServer({ intake, metrics, dialect: platform.dialect })).singleton(),
     readiness: asFunction(() => new ReadinessServer()).singleton(),
     monitor: asFunction((parts: ProxyComponents) => new MonitorServer({ metrics: parts.metrics, quarantine: parts.quarantine, status: () => proxyStatus(parts) })).singleton(),
-    processor: asFunction(({ metrics }: ProxyComponents) => new ProcessorLog(metrics)).singleton(),
+    processor: asFunction(({ metrics }: ProxyComponents) => new CpuTimeLog(metrics)).singleton(),
     lease: asFunction(({ self, tallies, membership, links }: ProxyComponents) => new LeaseTask({
       self,
       store: platform.store,
--- a/daemon/log/processor_log.ts
+++ b/daemon/log/cpu_time_log.ts
@@ -1,16 +1,16 @@
-/** Tells now and then what processor time the daemon took, beside what it did with it. */
+/** Periodic log of the daemon's CPU time and the work done in it. */
 import { steadyNow } from '../../core/time/index.ts'
 import type { Metrics } from '../metrics.ts'
 import type { DaemonEvents } from './events.ts'
 import { log } from './log.ts'
 
-const EVERY_MS = 10_000
+const LOG_INTERVAL_MS = 10_000
 const US_PER_MS = 1000
 
 type Counts = Pick<DaemonEvents['processor-time'], 'requests' | 'attempts' | 'pieces' | 'messagesIn' | 'messagesOut'>
 
-/** Logs processor time and counts of each interval; the first one begins with the process. */
-export class ProcessorLog {
+/** Logs CPU time and counts for each interval; the first interval begins with the process. */
+export class CpuTimeLog {
   readonly #metrics: Metrics
   #timer: NodeJS.Timeout | undefined
   #atMs = 0
@@ -21,18 +21,18 @@
     this.#metrics = metrics
   }
 
-  /** Begins. */
+  /** Writes the first line and starts the timer. */
   start (): void {
-    this.#timer = setInterval(() => this.write(), EVERY_MS)
+    this.#timer = setInterval(() => this.write(), LOG_INTERVAL_MS)
     this.write()
   }
 
-  /** Stops. */
+  /** Stops the timer. */
   stop (): void {
     clearInterval(this.#timer)
   }
 
-  /** Logs the time since the last line. */
+  /** Logs the interval since the last line. */
   async write (): Promise<void> {
     const counts = await this.#count()
     const { user, system } = process.cpuUsage()
--- a/daemon/log/describe.ts
+++ b/daemon/log/describe.ts
@@ -1,15 +1,15 @@
-/** Decisions about a request, in words. */
+/** Human-readable descriptions of the decisions about a request. */
 import type { RequestEvents } from './events.ts'
 
 type Describers = { [E in keyof RequestEvents]: (fields: RequestEvents[E]) => string }
 
 const ms = (value: number) => `${Math.round(value)} ms`
-const belief = (revision: number, ageMs: number | undefined) => `configuration ${revision}${ageMs === undefined ? ', never confirmed' : `, confirmed ${ms(ageMs)} before`}`
-const comeBack = (retryAfterMs: number | undefined) => (retryAfterMs === undefined ? '' : `; to come back in ${ms(retryAfterMs)}`)
+const configSuffix = (revision: number, ageMs: number | undefined) => `configuration ${revision}${ageMs === undefined ? ', never confirmed' : `, confirmed ${ms(ageMs)} before`}`
+const retryHint = (retryAfterMs: number | undefined) => (retryAfterMs === undefined ? '' : `; to come back in ${ms(retryAfterMs)}`)
 
 const DESCRIBERS: Describers = {
-  'request-taken': (f) => `taken for ${f.account}: class ${f.class}, pool ${f.pool}, ${f.promptTokens} prompt tokens, ${ms(f.deadlineInMs)} left (${belief(f.revision, f.revisionAgeMs)})`,
-  'request-refused': (f) => `refused with ${f.status}: ${f.why}${comeBack(f.retryAfterMs)} (${belief(f.revision, f.revisionAgeMs)})`,
+  'request-taken': (f) => `taken for ${f.account}: class ${f.class}, pool ${f.pool}, ${f.promptTokens} prompt tokens, ${ms(f.deadlineInMs)} left (${configSuffix(f.revision, f.revisionAgeMs)})`,
+  'request-refused': (f) => `refused with ${f.status}: ${f.why}${retryHint(f.retryAfterMs)} (${configSuffix(f.revision, f.revisionAgeMs)})`,
   'request-broke': (f) => `the daemon failed: ${f.why}`,
   'request-waits': (f) => `waits: no room at any of ${f.candidates} endpoints of ${f.pool}, ${f.ahead} ahead, ${ms(f.expectedMs)} expected`,
   'request-held': (f) => `held for ${ms(f.forMs)}: endpoints that ran requests like it crashed (fingerprint ${f.fingerprint})`,
@@ -21,10 +21,10 @@
   'stream-moved': (f) => `reclaim of ${f.endpoint}: ${f.action}${f.target === undefined ? '' : ` at ${f.target}`}`,
   'export-failed': (f) => `export of the KV cache at ${f.endpoint} failed, planning again`,
   'stream-taken-over': (f) => `taken over at token ${f.fromPiece}${f.endpoint === undefined ? ', waiting for room' : ` on ${f.endpoint}`}`,
-  'request-ended': (f) => `${f.outcome}: ${f.why}${comeBack(f.retryAfterMs)}`
+  'request-ended': (f) => `${f.outcome}: ${f.why}${retryHint(f.retryAfterMs)}`
 }
 
-/** Says in one line what was decided. */
+/** Returns a one-line description of a request event. */
 export function describe<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): string {
   return DESCRIBERS[event](fields)
 }
--- a/daemon/log/events.ts
+++ b/daemon/log/events.ts
@@ -1,48 +1,57 @@
 /**
- * Everything that a daemon logs: one type for each event.
+ * Log events of a daemon: the type of each event's fields.
  *
- * Durations are in milliseconds, prompts and answers in tokens, unless a field says otherwise. An age tells how long before the line a belief
- * was last confirmed.
+ * Durations are in milliseconds, and prompts and answers in tokens, unless a field says otherwise. An age is the time between the last
+ * confirmation of a piece of state and the log line.
  */
 
-/** Which configuration a decision went by. */
+/** Configuration on which a decision was based. */
 export interface ConfigState {
   /** Revision in force on this daemon; 0 before the first. */
   revision: number
-  /** Since the store last confirmed that no newer one exists; undefined when it never did. */
+  /** Time since the store last confirmed that no newer revision exists; undefined if it never has. */
   revisionAgeMs: number | undefined
 }
 
-/** Decisions about one request. */
+/** Events about one request. */
 export interface RequestEvents {
-  /** A route and an account were found, and its quota had room. */
+  /** Accepted: route and account were found, and the account's quota allowed the request. */
   'request-taken': ConfigState & { account: string, class: string, pool: string, deadlineInMs: number, promptTokens: number, maxTokens: number, fromPiece: number, quotaWaitMs: number }
-  /** Refused before anything ran. Over a quota: `cost` of the request and `room` that the account had, in the quota's unit. */
+  /**
+   * Refused before any endpoint received it. If over quota, `cost` is the request's cost and `room` the account's remaining quota, in the
+   * quota's unit.
+   */
   'request-refused': ConfigState & { status: number, why: string, retryAfterMs?: number | undefined, host?: string | undefined, path?: string | undefined, account?: string | undefined, class?: string | undefined, cost?: number | undefined, room?: number | undefined }
-  /** A fault of the daemon's own; the caller is told 500. */
+  /** An internal error of the daemon; the caller gets a 500. */
   'request-broke': { why: string, stack?: string | undefined }
-  /** No endpoint has room now; the request waits for one. */
+  /** Queued, because no endpoint has a free slot. */
   'request-waits': { pool: string, ahead: number, expectedMs: number, latestStartInMs: number, candidates: number }
-  /** Sent to no endpoint: requests of the same content crashed those that ran them. */
+  /** Quarantined, so sent to no endpoint: endpoints that ran requests with the same content crashed. */
   'request-held': { fingerprint: string, forMs: number }
-  /** Sent to an endpoint. `predictedMs` to the first piece, from `running` requests in `slots`, as others told `othersAgeMs` ago. */
+  /**
+   * Sent to an endpoint. `predictedMs` is the predicted time to the first piece, given `running` requests in `slots`; other daemons' load
+   * reports for it are `othersAgeMs` old.
+   */
   'attempt-started': { attempt: number, endpoint: string, version?: string | undefined, mode: string, fromPiece: number, lane: string, predictedMs?: number, withinTarget?: boolean, uncachedTokens?: number, running: number, slots: number, othersAgeMs?: number | undefined, listAgeMs?: number | undefined }
-  /** The attempt gave no whole answer. `point` tells how far it came, `repeat` what follows; `fingerprint` is that of a request whose endpoint broke off. */
+  /**
+   * The attempt gave no complete answer. `point` is the stage it reached, `repeat` whether it is retried; `fingerprint` is present if the
+   * endpoint broke off while it ran the request.
+   */
   'attempt-failed': { attempt: number, endpoint: string, point: string, why: string, status?: number | undefined, afterMs: number, pieces: number, endpointLeaving: boolean, fingerprint?: string, repeat: 'allowed' | 'over-budget' | 'not-allowed' }
-  /** A leaving endpoint's stream: what the planner decided. */
+  /** What the reclaim planner decided for a stream on a leaving endpoint. */
   'stream-moved': { endpoint: string, action: string, target?: string | undefined }
-  /** A KV cache could not be exported; the streams are planned again. */
+  /** A KV cache could not be exported; its streams are planned again. */
   'export-failed': { endpoint: string, why: string }
-  /** Another daemon's stream goes on here. */
+  /** This daemon continues a stream of another daemon. */
   'stream-taken-over': { endpoint?: string | undefined, fromPiece: number }
-  /** The last word. */
+  /** The final result. */
   'request-ended': { outcome: string, why: string, status?: number | undefined, retryAfterMs?: number | undefined, afterMs: number, firstPieceMs?: number | undefined, longestPauseMs?: number | undefined, pieces: number, attempts: number, deadlineMs: number }
 }
 
-/** What changes a daemon's beliefs, and its own life. */
+/** Events about the daemon itself and the state it keeps of the system. */
 export interface DaemonEvents {
   'daemon-started': { id: string, settings: string, startMs: number }
-  /** Processor time of the whole process, and what it did in the same span; messages are those between daemons. */
+  /** CPU time of the whole process, and the work done in the same interval; messages are those between daemons. */
   'processor-time': { usedMs: number, spanMs: number, requests: number, attempts: number, pieces: number, messagesIn: number, messagesOut: number, memoryMb: number }
   'daemon-draining': { who: string, open: number }
   'daemon-left': { cut: number, heir?: string | undefined }
@@ -50,74 +59,77 @@
   'settings-refused': { problems: readonly string[] }
   'config-in-force': { revision: number, before: number, from: string }
   'config-refused': { problems: readonly string[], inForce: number }
-  /** Another daemon told of a revision, and did not hand it over. */
+  /** A peer announced a revision, but fetching it from that peer failed. */
   'config-not-told': { revision: number, from: string, why: string }
   'store-lost': { what: string, why: string, lastAnswerAgeMs: number | undefined }
   'store-back': { what: string }
-  /** Another daemon could not tell what changed in the store; the next one, or the store itself, is asked. */
+  /** A peer could not relay changes of the store; the next peer, or the store itself, is asked instead. */
   'relay-failed': { peer: string, prefix: string, why: string }
   'member-changed': { peer: string, state: string }
   'peer-not-linked': { peer: string, why: string }
   'peer-send-failed': { peer: string, why: string }
-  /** Could not be read; the link it came on was ended. */
+  /** A message could not be decoded; its link was closed. */
   'peer-message-refused': { peer: string, why: string }
   'not-registered': { why: string }
   'endpoint-listed': { endpoint: string, pool: string, failureDomain: string, reclaimable: boolean, slots: number }
   'endpoint-leaving': { endpoint: string, signal: string, leftMs: number }
   'endpoint-gone': { endpoint: string }
-  /** Its process ended, as a later start under the same name shows. */
+  /** The endpoint's process ended, which a later start under the same name shows. */
   'endpoint-restarted': { endpoint: string, by: string }
-  /** Listed as live long after it was said to leave. */
+  /** An endpoint announced as leaving is still listed as live long after, and is used again. */
   'endpoint-taken-back': { endpoint: string }
   'endpoint-refused': { endpoint: string, problems: readonly string[] }
-  /** Their entries vanished and may come back: `why` says what is taken for an outage of the registry, `forMs` how long they have. */
+  /**
+   * The endpoints' entries vanished but are kept, because a registry outage is suspected: `why` is the reason, `forMs` the time they have to
+   * come back.
+   */
   'endpoints-held': { endpoints: readonly string[], why: string, forMs: number }
-  /** Held until now, and written anew. */
+  /** Entries that were kept were written again. */
   'endpoints-back': { endpoints: readonly string[] }
-  /** Their entries vanished with an outage of the registry, and did not come back in time. */
+  /** Entries that were kept did not come back in time, and were removed. */
   'endpoints-not-back': { endpoints: readonly string[] }
-  /** Its process ended without notice; `aboard` are the fingerprints of requests that this daemon had sent there. */
+  /** The endpoint's process ended without notice; `aboard` has the fingerprints of this daemon's requests that were running there. */
   'endpoint-crashed': { endpoint: string, pool: string, aboard: readonly string[] }
-  /** Sent to no endpoint any more: it was aboard these crashes, as no other request was. */
+  /** Requests with this fingerprint are sent to no endpoint any more: no other request was running in all of these crashes. */
   'request-quarantined': { fingerprint: string, crashes: readonly string[], forMs: number }
-  /** Sent to endpoints again: it was served, another explains the crashes, or its time is over. */
+  /** The quarantine ended: the request was served, another request explains the crashes, or the time is over. */
   'request-let-go': { fingerprint: string }
-  /** An operator let it go. */
+  /** An operator ended the quarantine. */
   'request-released': { fingerprint: string, who: string }
-  /** What is held could not be read from or written to the store; it is tried again. */
+  /** The quarantine could not be read from or written to the store; this is retried. */
   'quarantine-not-stored': { why: string }
-  /** Left alone after failures in a row. */
+  /** Ejected for a while after consecutive failures. */
   'endpoint-avoided': { endpoint: string, failures: number, forMs: number }
-  /** Has work and gave no word for several times its rhythm: left alone for a while. */
+  /** Ejected for a while: has running requests but has sent nothing for several times its usual interval. */
   'endpoint-silent': { endpoint: string, wordAgeMs: number, forMs: number }
   'keeper-chosen': { keeper: string, before: string }
   'keeper-silent': { keeper: string, requests: number, why: string }
   'lease-changed': { name: string, holder: string, fencing: number }
   'lease-call-failed': { name: string, why: string }
-  /** A roll-out of a version has come to a stage; `granted` requests may have gone to the new version before the switch. */
+  /** A rollout has entered a stage; up to `granted` requests may have gone to the new version before the switch. */
   'rollout-stage': { pool: string, from: string | undefined, to: string, stage: string, why: string, granted: number }
-  /** Its new version is worse and gets nothing more, though the store does not take the verdict yet. */
+  /** The new version was judged worse and gets no more requests, although the verdict is not written to the store yet. */
   'rollout-held': { pool: string, order: string }
   'rollout-refused': { order: string, problems: readonly string[] }
-  /** The store did not take a stage; it is decided again. */
+  /** A stage could not be written to the store; it is decided again. */
   'rollout-not-written': { pool: string, stage: string, why: string }
   'usage-reported': { window: number, fencing: number, requests: number }
   'usage-not-reported': { window: number | undefined, why: string }
   'order-given': { pool: string, failureDomain: string, reclaimable: boolean, count: number, fencing: number }
   'order-refused': { pool: string, failureDomain: string, reclaimable: boolean, count: number, fencing: number, failure: string, why: string }
-  /** Bought, drained or stopped. */
+  /** Hosts were bought, drained or stopped. */
   'fleet-step': { pool: string, action: string, what: object }
   'fleet-round-cut': { pool: string, why: string }
   'answers-lost': { heir: string, why: string }
-  /** Lines that were left out in the second before, by event. */
+  /** Number of lines dropped by the rate limit since the last such line, by event. */
   'lines-left-out': { counts: Readonly<Record<string, number>> }
 }
 
 /** Name of an event. */
 export type LogEvent = keyof DaemonEvents | keyof RequestEvents
 
-/** Events that tell of trouble: written as warnings, and the last to be left out under load. */
-export const TROUBLE: ReadonlySet<LogEvent> = new Set<LogEvent>([
+/** Events logged as warnings; the rate limit drops routine events before these. */
+export const WARNING_EVENTS: ReadonlySet<LogEvent> = new Set<LogEvent>([
   'request-refused', 'request-broke', 'request-held', 'attempt-failed', 'export-failed', 'settings-refused', 'config-refused', 'config-not-told', 'store-lost', 'relay-failed',
   'peer-not-linked', 'peer-send-failed', 'peer-message-refused', 'not-registered', 'endpoint-refused', 'endpoint-crashed', 'request-quarantined', 'quarantine-not-stored', 'endpoint-avoided', 'endpoint-silent', 'keeper-silent', 'lease-call-failed',
   'usage-not-reported', 'order-refused', 'rollout-held', 'rollout-refused', 'rollout-not-written', 'fleet-round-cut', 'answers-lost', 'lines-left-out'
--- a/daemon/log/log.ts
+++ b/daemon/log/log.ts
@@ -1,82 +1,85 @@
-/** Structured log lines on standard output, one JSON object each. */
+/** Structured logging: one JSON object per line, on standard output by default. */
 import { randomUUID } from 'node:crypto'
 import type { Logger } from 'pino'
 import { delay, steadyNow } from '../../core/time/index.ts'
-import { TROUBLE, type DaemonEvents, type LogEvent, type RequestEvents } from './events.ts'
-import { LineBudget } from './line_budget.ts'
+import { WARNING_EVENTS, type DaemonEvents, type LogEvent, type RequestEvents } from './events.ts'
+import { LogRateLimiter } from './line_budget.ts'
 
 /** Options of {@linkcode startLog}. */
 export interface StartLogOptions {
-  /** Name of the daemon, on every line. */
+  /** Name of the daemon, included in every line. */
   daemon: string
   /** File descriptor. Default 1, standard output. */
   fd?: number
-  /** Lines wait until this settles: loading the writer takes 15 ms of a start, which callers wait for. Default: at once. */
+  /**
+   * Lines are held back until this settles, and only then the log library is loaded, which would add 15 ms to the startup that callers wait
+   * for. Default: load at once.
+   */
   after?: Promise<unknown>
 }
 
 /**
- * Lines that wait to be written, in bytes, before further ones are lost.
+ * Maximum size of buffered lines, in bytes; further lines are dropped.
  *
- * Guards against a pipe that nobody reads: a daemon that waited for it would stand still with all its requests.
+ * Guards against a pipe that nobody reads: blocking on it would stall the daemon and all its requests.
  */
-const MOST_WAITING_BYTES = 1 << 20
-/** Lines are written together once there are so many bytes of them. */
-const WRITE_AT_BYTES = 4096
-const LAST_FLUSH_MS = 200
-/** Longest that a line waits for others, in milliseconds; so much is lost when the process is killed. */
-const FLUSH_MS = 250
+const MAX_BUFFERED_BYTES = 1 << 20
+/** Buffered lines are written once they reach this size, in bytes. */
+const MIN_WRITE_BYTES = 4096
+const FINAL_FLUSH_TIMEOUT_MS = 200
+/** Interval at which buffered lines are written, in milliseconds; a process that is killed loses up to this much of its log. */
+const FLUSH_INTERVAL_MS = 250
 
 interface Line { event: LogEvent, fields: object }
 
 let logger: Logger | undefined
-/** Lines of the time in which the writer is loaded. */
-let early: Line[] | undefined
-const budget = new LineBudget()
+/** Lines logged while the log library is being loaded. */
+let pendingLines: Line[] | undefined
+const rateLimiter = new LogRateLimiter()
 
-/** Begins to write; what is logged before the call goes nowhere. */
+/** Starts logging; lines logged before this call are discarded. */
 export async function startLog (options: StartLogOptions): Promise<void> {
-  early = []
+  pendingLines = []
   await options.after
   const { default: pino } = await import('pino')
-  const destination = pino.destination({ fd: options.fd ?? 1, sync: false, minLength: WRITE_AT_BYTES, maxLength: MOST_WAITING_BYTES })
-  // A daemon that was restarted is another process: what came before its start tells nothing of it.
+  const destination = pino.destination({ fd: options.fd ?? 1, sync: false, minLength: MIN_WRITE_BYTES, maxLength: MAX_BUFFERED_BYTES })
+  // Distinguishes restarts of a daemon: lines of an earlier process say nothing about the current one.
   const base = { daemon: options.daemon, process: randomUUID().slice(0, 8) }
   logger = pino({ base, timestamp: pino.stdTimeFunctions.isoTime, formatters: { level: (level) => ({ level }) } }, destination)
   setInterval(() => {
-    const counts = budget.takeLeftOut()
+    const counts = rateLimiter.takeDropped()
     if (counts) logger!.warn({ event: 'lines-left-out', counts })
     destination.flush()
-  }, FLUSH_MS).unref()
-  for (const line of early) writeLine(line)
-  early = undefined
+  }, FLUSH_INTERVAL_MS).unref()
+  for (const line of pendingLines) writeLine(line)
+  pendingLines = undefined
 }
 
-/** Writes what waits, before the process ends; gives up on a pipe that nobody reads. */
+/** Writes buffered lines before the process exits; gives up after a timeout, since the pipe may have no reader. */
 export async function flushLog (): Promise<void> {
   const written = new Promise<void>((resolve) => (logger ? logger.flush(() => resolve()) : resolve()))
-  await Promise.race([written, delay(LAST_FLUSH_MS)])
+  await Promise.race([written, delay(FINAL_FLUSH_TIMEOUT_MS)])
 }
 
-/** Logs what changes the daemon's beliefs or its own life. */
+/** Logs an event about the daemon or the state it keeps of the system. */
 export function log<E extends keyof DaemonEvents> (event: E, fields: DaemonEvents[E]): void {
   write(event, fields)
 }
 
-/** Logs a decision about a request. */
+/** Logs an event about a request. */
 export function logRequest<E extends keyof RequestEvents> (request: string, event: E, fields: RequestEvents[E]): void {
   write(event, { request, ...fields })
 }
 
-/** Writes one line, unless the second has had too many; never blocks. */
+/** Writes one line unless the rate limit is reached; never blocks. */
 function write (event: LogEvent, fields: object): void {
-  if (!logger && !early) return
-  if (!budget.spend(event, { trouble: TROUBLE.has(event), now: steadyNow() })) return
-  if (early) early.push({ event, fields })
+  if (!logger && !pendingLines) return
+  if (!rateLimiter.tryAcquire(event, { warning: WARNING_EVENTS.has(event), now: steadyNow() })) return
+  if (pendingLines) pendingLines.push({ event, fields })
   else writeLine({ event, fields })
 }
 
 function writeLine ({ event, fields }: Line): void {
-  if (TROUBLE.has(event)) logger!.warn({ event, ...fields })
+  if (WARNING_EVENTS.has(event)) logger!.warn({ event, ...fields })
   else logger!.info({ event, ...fields })
 }
