--- a/daemon/api/callers_api_test.ts
+++ b/daemon/api/callers_api_test.ts
@@ -68,7 +68,7 @@
   expect(await send(...args)).toMatchObject({ status, json: { outcome: 'not-run' }, headers: { 'content-type': 'application/problem+json' } })
 })
 
-test('readiness and metrics are public, and status and actions require an operator credential', async () => {
+test('an operator can read readiness, metrics, status and the audit trail; status and release require an operator credential', async () => {
   const url = platform.daemons[0]!.addresses.operators
   const get = async (path: string, credential = demoCredential('operator')) => {
     const res = await request(url + path, { headers: { authorization: `Bearer ${credential}` } })
