--- a/daemon/sessions/crashing_request_test.ts
+++ b/daemon/sessions/crashing_request_test.ts
@@ -2,7 +2,7 @@
 import { Session, type Kind } from '../../bench/_session.ts'
 import { StandInEngine } from '../../standins/index.ts'
 
-/** Longer than an engine takes to begin with a request, in milliseconds. */
+/** Longer than an engine takes to start on a request, in milliseconds. */
 const RUN_MS = 200
 
 let session: Session
@@ -13,8 +13,8 @@
   session.stop()
 })
 
-/** Ends the engine that runs the only request, and starts another; false where none runs it. */
-async function crashWhoRunsIt (): Promise<boolean> {
+/** Stops the engine that runs the only request and starts a new one; returns false if no engine runs it. */
+async function crashRunningEngine (): Promise<boolean> {
   const host = session.cloud.live().find(({ hostId }) => {
     const endpoint = session.cloud.endpoint(hostId)
     return endpoint instanceof StandInEngine && endpoint.running > 0
@@ -25,14 +25,14 @@
   return true
 }
 
-test.each<Kind>(['review', 'letter'])('a %s that crashes each engine that runs it ends four at most, at all daemons together', async (kind) => {
-  // Guards against a request of death that daemons repeat themselves, beside its callers.
+test.each<Kind>(['review', 'letter'])('a %s that crashes every engine that runs it crashes four at most, over all daemons', async (kind) => {
+  // Guards against a query of death that takes down engine after engine, because callers resend it and daemons retry it.
   let crashed = 0
   for (let nth = 0; nth < 12; nth++) {
     session.submit(session.daemons[nth % 3]!, { kind, key: `k${nth}`, input: 'the same each time', maxTokens: 200 })
     for (;;) {
       await session.advance(RUN_MS)
-      if (!await crashWhoRunsIt()) break
+      if (!await crashRunningEngine()) break
       crashed++
     }
     await session.advance(2000)
--- a/daemon/sessions/drain_test.ts
+++ b/daemon/sessions/drain_test.ts
@@ -10,9 +10,9 @@
   session.stop()
 })
 
-test('a stream that waits for room when its daemon leaves is carried on elsewhere', async () => {
-  // A review is cut: its host was reclaimed, nowhere else had room, and before there was some its daemon was drained. A stream that runs
-  // nowhere has no endpoint to be read from, and only running ones were handed over.
+test('a stream that is queued when its daemon drains continues at another daemon', async () => {
+  // Guards against a truncated answer: the stream's host was reclaimed, no other host had a free slot, and its daemon was drained before one
+  // had. Only streams running at an endpoint were handed over, because a queued one has no endpoint to read it from.
   for (let i = 0; i < 9; i++) session.submit(session.daemons[i % 3]!, { kind: 'review', key: `r${i}`, input: `r${i} `.padEnd(400, 'x'), maxTokens: 250 })
   await session.advance(1500)
   session.cloud.reclaim(session.cloud.live().filter((host) => host.endpoint.pool === 'models').map((host) => host.hostId), 2000)
@@ -27,8 +27,9 @@
   expect(session.violations()).toEqual([])
 })
 
-test('a caller that follows another daemon\'s answer is told to go elsewhere, not cut', async () => {
-  // A portal's connection breaks in the middle of a letter: it follows the letter through a daemon that does not run it, and that one drains.
+test('a caller that follows another daemon\'s answer is redirected on a drain, not disconnected', async () => {
+  // Guards against a connection that breaks in the middle of an answer: the caller reads it through a daemon that does not run the request,
+  // and that daemon drains.
   const letter = session.submit(session.daemons[1]!, { kind: 'letter', key: 'k', input: 'letter', maxTokens: 400 })
   await session.advance(500)
   const [running] = [...session.daemons[1]!.broker.open]
@@ -41,7 +42,7 @@
   expect(letter.outcome).toBeUndefined()
 })
 
-test('a daemon without an heir serves its streams until its time is up', async () => {
+test('a draining daemon that has no heir serves its streams until the drain time ends', async () => {
   const [last, ...others] = session.daemons
   for (const daemon of others) await session.kill(daemon)
   await session.advance(15_000)
@@ -51,7 +52,7 @@
   expect(review.outcome).toBe('answered')
 })
 
-test('a draining daemon refuses new work truthfully, once the balancer had time to see it', async () => {
+test('a draining daemon accepts requests until the balancer has had time to notice, and then refuses them', async () => {
   const draining = session.daemons[0]!
   session.drain(draining)
   const submit = () => draining.broker.submit({ account: 'account' as never, className: 'check', input: 'x', maxTokens: 1, idempotencyKey: undefined })
@@ -60,7 +61,7 @@
   expect(submit).toThrow(RefusedError)
 })
 
-test('told twice to stop, a daemon drains once', async () => {
+test('a daemon that is told to drain twice drains once', async () => {
   const [daemon] = session.daemons
   expect(daemon!.drain()).toBe(daemon!.drain())
   await session.advance(9000)
--- a/daemon/sessions/golden_test.ts
+++ b/daemon/sessions/golden_test.ts
@@ -3,12 +3,12 @@
 import type { Decision } from '../request/work.ts'
 import { TokenTask } from '../request/token_task.ts'
 
-interface Story { name: string, run (session: Session): Promise<void> }
+interface Scenario { name: string, run (session: Session): Promise<void> }
 
 const review = (session: Session, which: number, key: string, maxTokens: number) => session.submit(session.daemons[which]!, { kind: 'review', key, input: `${key} `.padEnd(4000, 'case file '), maxTokens })
 const letter = (session: Session, which: number, key: string) => session.submit(session.daemons[which]!, { kind: 'letter', key, input: `${key} `.padEnd(800, 'draft '), maxTokens: 60 })
 
-const STORIES: Story[] = [
+const SCENARIOS: Scenario[] = [
   {
     name: 'domain_reclaimed',
     async run (session) {
@@ -41,18 +41,18 @@
   }
 ]
 
-test.each(STORIES)('golden session: $name', async ({ name, run }) => {
-  const tasks = watchTasks()
+test.each(SCENARIOS)('golden session: $name', async ({ name, run }) => {
+  const decisions = recordDecisions()
   const session = await Session.start(4)
   const from = Date.now()
   try {
     await run(session)
     await session.advance(60_000)
-    const text = [...session.callers.map(callerLine), '', ...tasks.lines(from), ''].join('\n')
+    const text = [...session.callers.map(callerLine), '', ...decisions.lines(from), ''].join('\n')
     expect(session.violations()).toEqual([])
     await expect(text).toMatchFileSnapshot(`testdata/${name}.golden.txt`)
   } finally {
-    tasks.stop()
+    decisions.stop()
     await Promise.all(session.daemons.map((daemon) => daemon.kill()))
     session.stop()
   }
@@ -62,8 +62,8 @@
   return `${kind} ${key}: ${outcome} (${reason}), ${tokens.length} tokens`
 }
 
-/** Collects the decisions of every request on every daemon, in the order of time. */
-function watchTasks () {
+/** Collects the decisions about all requests on all daemons, in chronological order. */
+function recordDecisions () {
   const seen: Array<{ task: TokenTask, decision: Decision }> = []
   const decide = TokenTask.prototype.decide
   TokenTask.prototype.decide = function (this: TokenTask, ...args: Parameters<typeof decide>) {
--- a/daemon/sessions/parted_test.ts
+++ b/daemon/sessions/parted_test.ts
@@ -15,9 +15,9 @@
   session.submit(session.daemons[which]!, { kind, key, input: `${key} `.padEnd(400, 'x'), maxTokens: model ? 80 : 1 })
 }
 
-test('regions that lose each other for minutes go on, and agree again afterwards', async () => {
-  // Both regions are told that the other is gone while neither is. Each must answer its callers, neither may run a letter that the other ran, and
-  // when the link is back all must be known again with one configuration in force.
+test('partitioned regions keep serving for minutes, and converge after the partition heals', async () => {
+  // During a partition each region takes the other for gone. Each must answer its callers, neither may run a letter that the other ran, and
+  // after the partition heals all daemons must know each other again, with one configuration in force.
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
   submit(0, 'letter', 'shared')
   await session.advance(500)
@@ -29,7 +29,7 @@
     await session.advance(60_000)
   }
   await applying
-  // The store is the way between the parted: it is polled each minute.
+  // Both sides can reach the store, which they poll every minute.
   expect(session.daemons.map((daemon) => daemon.config.inForce?.revision)).toEqual([2, 2, 2])
   expect(session.daemons[0]!.membership.core.member(b)!.state).toBe('gone')
   session.network.heal()
@@ -39,8 +39,9 @@
   expect(session.violations()).toEqual([])
 })
 
-test('a key that both regions are sent while they are parted runs once', async () => {
-  // A portal times out at one region and sends its letter to the other, which cannot ask the first. The claim is in the store, not between them.
+test('a request sent to both regions with the same key during a partition runs once', async () => {
+  // A caller times out at one region and resends its request to the other, which cannot reach the first. This works because claims on keys
+  // are kept in the store.
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
   session.network.part(a, b, true)
   session.network.part(a, c, true)
