--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -105,7 +105,7 @@
 
 /** A running daemon. */
 export class Daemon {
-  readonly #parts: DaemonComponents
+  readonly #components: DaemonComponents
   readonly #servers: Server[] = []
   #addresses: DaemonAddresses | undefined
   #draining: Promise<void> | undefined
@@ -115,8 +115,8 @@
   /** Resolves once the daemon has drained and left the membership, whether by a signal or an operator's call. */
   readonly left = new Promise<void>((resolve) => { this.#resolveLeft = resolve })
 
-  private constructor (parts: DaemonComponents, http: boolean) {
-    this.#parts = parts
+  private constructor (components: DaemonComponents, http: boolean) {
+    this.#components = components
     this.#http = http
   }
 
@@ -131,16 +131,16 @@
     return daemon
   }
 
-  get id (): DaemonId { return this.#parts.self }
+  get id (): DaemonId { return this.#components.self }
   get addresses (): DaemonAddresses { return this.#addresses! }
-  get metrics (): Metrics { return this.#parts.metrics }
-  get broker (): Broker { return this.#parts.broker }
-  get config (): ConfigTask { return this.#parts.config }
-  get table (): EndpointTable { return this.#parts.table }
-  get membership (): MembershipTask { return this.#parts.membership }
-  get audit (): AuditTrail { return this.#parts.audit }
+  get metrics (): Metrics { return this.#components.metrics }
+  get broker (): Broker { return this.#components.broker }
+  get config (): ConfigTask { return this.#components.config }
+  get table (): EndpointTable { return this.#components.table }
+  get membership (): MembershipTask { return this.#components.membership }
+  get audit (): AuditTrail { return this.#components.audit }
   /** True while the balancer should route callers to this daemon. */
-  get ready (): boolean { return this.#draining === undefined && this.#parts.membership.joined && this.#parts.config.inForce !== undefined && this.#parts.table.all.length > 0 }
+  get ready (): boolean { return this.#draining === undefined && this.#components.membership.joined && this.#components.config.inForce !== undefined && this.#components.table.all.length > 0 }
 
   /** Drains and stops; later calls return the first call's promise. */
   drain (who = 'signal'): Promise<void> {
@@ -150,18 +150,18 @@
 
   /** Stops at once without draining, as in a crash. */
   async kill (): Promise<void> {
-    this.#parts.config.stop()
-    this.#parts.hosts.stop()
-    this.#parts.archive.stop()
-    this.#parts.quarantine.stop()
-    this.#parts.fleet.stop()
-    this.#parts.broker.abandon()
+    this.#components.config.stop()
+    this.#components.hosts.stop()
+    this.#components.archive.stop()
+    this.#components.quarantine.stop()
+    this.#components.fleet.stop()
+    this.#components.broker.abandon()
     for (const server of this.#servers) server.closeAllConnections()
-    await Promise.all([...this.#servers.map(close), this.#parts.membership.stop()])
+    await Promise.all([...this.#servers.map(close), this.#components.membership.stop()])
   }
 
   async #start (): Promise<void> {
-    const { settings, membership, config, hosts, fleet, quarantine, archive } = this.#parts
+    const { settings, membership, config, hosts, fleet, quarantine, archive } = this.#components
     await membership.start()
     config.start()
     await hosts.start()
@@ -173,10 +173,10 @@
   }
 
   async #serve (): Promise<void> {
-    const { settings, membership } = this.#parts
-    const callers = await this.#listen(callersApi(this.#parts), settings.ports.callers)
+    const { settings, membership } = this.#components
+    const callers = await this.#listen(callersApi(this.#components), settings.ports.callers)
     const operators = await this.#listen(operatorsApi({
-      ...this.#parts,
+      ...this.#components,
       bootstrapSecret: settings.peerSecret,
       ready: () => this.ready,
       drain: (who) => { this.drain(who) },
@@ -187,11 +187,11 @@
 
   /** Builds the status report for operators. */
   async status (): Promise<StatusReport> {
-    const { broker, config } = this.#parts
+    const { broker, config } = this.#components
     const inForce = config.inForce
     const kinds = new Map(inForce?.config.pools.map(({ name, kind }) => [name, kind]))
     return await buildStatus({
-      ...this.#parts,
+      ...this.#components,
       open: broker.openCount,
       revision: inForce?.revision ?? 0,
       revisionSure: config.sure,
@@ -200,7 +200,7 @@
   }
 
   async #listen (app: Koa, port: number): Promise<string> {
-    const { address } = this.#parts.settings
+    const { address } = this.#components.settings
     const server = createServer({ keepAliveTimeout: 30_000 }, app.callback())
     this.#servers.push(server)
     await new Promise<void>((resolve, reject) => server.once('error', reject).listen(port, address, resolve))
@@ -212,7 +212,7 @@
    * open requests to finish; then hands the rest over to a peer and tells their callers to resume there.
    */
   async #drain (who: string): Promise<void> {
-    const { membership, broker, settings, audit } = this.#parts
+    const { membership, broker, settings, audit } = this.#components
     const endsAtMs = steadyNow() + settings.drainMs
     log('daemon-draining', { who, open: broker.openCount })
     membership.setSelf({ state: 'draining' })
@@ -229,7 +229,7 @@
 
   /** Hands streams over until none is left: one whose KV cache is being transferred cannot move yet, but may a moment later. */
   async #handOverTo (heir: Member, endsAtMs: number): Promise<void> {
-    const { broker } = this.#parts
+    const { broker } = this.#components
     while (broker.openCount > 0 && steadyNow() < endsAtMs) {
       await broker.handOver(heir)
       await delay(DRAIN_POLL_MS)
@@ -238,7 +238,7 @@
   }
 
   async #leave (heir: Member | undefined): Promise<void> {
-    const { membership, broker, config, hosts, fleet, quarantine, archive } = this.#parts
+    const { membership, broker, config, hosts, fleet, quarantine, archive } = this.#components
     broker.releaseFollowers()
     const closing = this.#servers.map(close)
     for (const server of this.#servers) server.closeIdleConnections()
@@ -255,7 +255,7 @@
   }
 
   async #waitForOpenRequests (untilMs: number): Promise<void> {
-    while (this.#parts.broker.openCount > 0 && steadyNow() < untilMs) await delay(DRAIN_POLL_MS)
+    while (this.#components.broker.openCount > 0 && steadyNow() < untilMs) await delay(DRAIN_POLL_MS)
   }
 }
 
@@ -286,8 +286,8 @@
       random
     })).singleton(),
     audit: asFunction(({ storeFor }: DaemonComponents) => new AuditTrail(storeFor('audit'))).singleton(),
-    config: asFunction((parts: DaemonComponents) => new ConfigTask(withStore(parts, 'config'))).singleton(),
-    claims: asFunction((parts: DaemonComponents) => new Claims(withStore(parts, 'once'))).singleton(),
+    config: asFunction((components: DaemonComponents) => new ConfigTask(withStore(components, 'config'))).singleton(),
+    claims: asFunction((components: DaemonComponents) => new Claims(withStore(components, 'once'))).singleton(),
     table: asFunction(({ self, hash }: DaemonComponents) => new EndpointTable({ self, hash })).singleton(),
     prefixes: asFunction(() => new PrefixIndex()).singleton(),
     dispatcher: asFunction(({ table, prefixes, random }: DaemonComponents) => new Dispatcher({
@@ -335,9 +335,9 @@
   return container.cradle
 }
 
-function withStore (parts: DaemonComponents, use: StoreUse) {
-  const { self, settings, hash, metrics, random, links, storeFor } = parts
-  return { self, settings, hash, metrics, random, links, store: storeFor(use), get audit () { return parts.audit }, get membership () { return parts.membership } }
+function withStore (components: DaemonComponents, use: StoreUse) {
+  const { self, settings, hash, metrics, random, links, storeFor } = components
+  return { self, settings, hash, metrics, random, links, store: storeFor(use), get audit () { return components.audit }, get membership () { return components.membership } }
 }
 
 function storeFor ({ store, metrics, random }: DaemonComponents): (use: StoreUse) => ObjectStore {
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -170,7 +170,7 @@
     stalls: asFunction(({ table, intake }: ProxyComponents) => new StallWatch({ table, open: () => intake.open })).singleton(),
     server: asFunction(({ intake, metrics }: ProxyComponents) => new ExchangeServer({ intake, metrics, dialect: platform.dialect })).singleton(),
     readiness: asFunction(() => new ReadinessServer()).singleton(),
-    monitor: asFunction((parts: ProxyComponents) => new MonitorServer({ metrics: parts.metrics, quarantine: parts.quarantine, status: () => proxyStatus(parts) })).singleton(),
+    monitor: asFunction((components: ProxyComponents) => new MonitorServer({ metrics: components.metrics, quarantine: components.quarantine, status: () => proxyStatus(components) })).singleton(),
     processor: asFunction(({ metrics }: ProxyComponents) => new CpuTimeLog(metrics)).singleton(),
     lease: asFunction(({ self, tallies, membership, links }: ProxyComponents) => new LeaseTask({
       self,
@@ -191,19 +191,19 @@
       name: settings.name, duties: platform.duties, lease, table, tallies, metrics, versions: rollouts?.gate, firstStart: settings.firstStart, pools: () => config.inForce?.pools.values() ?? [], allowedTokensPerS: () => allowedTokensPerS(config.inForce?.accounts.values() ?? [])
     })).singleton()
   })
-  const parts = container.cradle
-  shareLeavingNews(parts.table, parts.membership)
-  parts.quarantine.onHeld(() => { for (const task of parts.intake.open) task.quarantineChanged() })
-  parts.rollouts?.gate.onLeaves((pool, version) => { for (const task of parts.intake.open) task.leaveVersion(pool, version) })
-  parts.table.onReplaced((id, { announced }) => {
-    if (!announced) parts.crashes.restarted(parts.table.get(id)!)
-    parts.client.cut(id)
+  const components = container.cradle
+  shareLeavingNews(components.table, components.membership)
+  components.quarantine.onHeld(() => { for (const task of components.intake.open) task.quarantineChanged() })
+  components.rollouts?.gate.onLeaves((pool, version) => { for (const task of components.intake.open) task.leaveVersion(pool, version) })
+  components.table.onReplaced((id, { announced }) => {
+    if (!announced) components.crashes.restarted(components.table.get(id)!)
+    components.client.cut(id)
   })
-  parts.config.onChange((catalog) => {
-    parts.limits.apply(catalog.accounts.values())
-    parts.server.limit(catalog.limits)
+  components.config.onChange((catalog) => {
+    components.limits.apply(catalog.accounts.values())
+    components.server.limit(catalog.limits)
   })
-  return parts
+  return components
 }
 
 function proxyStatus ({ self, server, config, dispatcher, table, membership, metrics, quarantine, rollouts }: ProxyComponents): Promise<StatusReport> {
--- a/daemon/exchange/exchange_writer.ts
+++ b/daemon/exchange/exchange_writer.ts
@@ -31,9 +31,9 @@
   const follow = () => {
     if (res.destroyed) return
     const pieces = task.answer.pieces
-    if (!res.headersSent && task.head) begin(res, task.head, { whole: task.final ? totalBytes(pieces) : undefined, closeConnection: options.closeConnection() })
+    if (!res.headersSent && task.head) writeHead(res, task.head, { whole: task.final ? totalBytes(pieces) : undefined, closeConnection: options.closeConnection() })
     if (res.headersSent) for (; written < pieces.length; written++) res.write(pieces[written])
-    if (task.final) finish(res, task, { final: task.final, closeConnection: options.closeConnection() })
+    if (task.final) writeEnd(res, task, { final: task.final, closeConnection: options.closeConnection() })
   }
   const stop = task.subscribe(follow)
   res.on('close', stop)
@@ -42,20 +42,20 @@
   else follow()
 }
 
-function begin (res: ServerResponse, head: AnswerHead, options: { whole: number | undefined, closeConnection: boolean }): void {
+function writeHead (res: ServerResponse, head: AnswerHead, options: { whole: number | undefined, closeConnection: boolean }): void {
   const headers = head.headers.filter(([name]) => !HOP_BY_HOP.has(name.toLowerCase()))
   const hasLength = headers.some(([name]) => name.toLowerCase() === 'content-length')
   if (!hasLength && options.whole !== undefined) headers.push(['Content-Length', String(options.whole)])
   send(res, head.status, headers, options.closeConnection)
 }
 
-function finish (res: ServerResponse, task: RequestTask<Buffer>, options: { final: FinalWord, closeConnection: boolean }): void {
+function writeEnd (res: ServerResponse, task: RequestTask<Buffer>, options: { final: FinalWord, closeConnection: boolean }): void {
   if (options.final.outcome === 'answered') {
     res.end()
   } else if (res.headersSent) {
     res.destroy()
   } else if (options.final.outcome === 'unknown' && task.failureAnswer) {
-    begin(res, task.failureAnswer.head, { whole: task.failureAnswer.body.length, closeConnection: options.closeConnection })
+    writeHead(res, task.failureAnswer.head, { whole: task.failureAnswer.body.length, closeConnection: options.closeConnection })
     res.end(task.failureAnswer.body)
   } else {
     const notRun = options.final.outcome === 'not-run'
--- a/daemon/exchange/proxy_daemon.ts
+++ b/daemon/exchange/proxy_daemon.ts
@@ -27,14 +27,14 @@
 
 /** A running proxy daemon. */
 export class ProxyDaemon {
-  readonly #parts: ProxyComponents
+  readonly #components: ProxyComponents
   #draining: Promise<void> | undefined
   #resolveLeft: () => void = () => {}
   /** Resolves once the daemon has drained and left the membership. */
   readonly left = new Promise<void>((resolve) => { this.#resolveLeft = resolve })
 
-  private constructor (parts: ProxyComponents) {
-    this.#parts = parts
+  private constructor (components: ProxyComponents) {
+    this.#components = components
   }
 
   /**
@@ -48,13 +48,13 @@
     return daemon
   }
 
-  get id (): DaemonId { return this.#parts.self }
+  get id (): DaemonId { return this.#components.self }
   /** True while the balancer should route callers to this daemon. */
-  get ready (): boolean { return this.#draining === undefined && this.#parts.config.inForce !== undefined && this.#parts.table.all.length > 0 }
+  get ready (): boolean { return this.#draining === undefined && this.#components.config.inForce !== undefined && this.#components.table.all.length > 0 }
   /** Number of endpoints that are not leaving. */
-  get endpoints (): number { return this.#parts.table.all.filter((view) => view.leavingAtMs === undefined).length }
+  get endpoints (): number { return this.#components.table.all.filter((view) => view.leavingAtMs === undefined).length }
   /** The daemon that counts account quotas for this one. */
-  get quotaKeeper (): DaemonId { return this.#parts.limits.keeper ?? this.id }
+  get quotaKeeper (): DaemonId { return this.#components.limits.keeper ?? this.id }
 
   /** Drains and stops; later calls return the first call's promise. */
   drain (): Promise<void> {
@@ -67,7 +67,7 @@
    * @returns Names of the settings applied, and of changed settings that take effect only after a restart.
    */
   reconfigure (next: ProxySettings): { changed: string[], needRestart: string[] } {
-    const { settings, membership, limits } = this.#parts
+    const { settings, membership, limits } = this.#components
     const changed = (Object.keys(next) as Array<keyof ProxySettings>).filter((key) => !isDeepStrictEqual(next[key], settings[key]))
     const live = changed.filter((key) => RELOADABLE_SETTINGS.has(key))
     for (const key of live) Object.assign(settings, { [key]: next[key] })
@@ -78,7 +78,7 @@
 
   /** Stops at once without draining, as in a crash. */
   async kill (): Promise<void> {
-    const { server, readiness, monitor, lease, usage, orders, rollouts, membership } = this.#parts
+    const { server, readiness, monitor, lease, usage, orders, rollouts, membership } = this.#components
     lease.stop()
     usage.stop()
     orders.stop()
@@ -91,7 +91,7 @@
   }
 
   async #start (): Promise<void> {
-    const { settings, membership, tallies, config, registry, server, readiness, monitor, lease, limits, loads, usage, orders, rollouts, stalls, quarantine, archive, processor } = this.#parts
+    const { settings, membership, tallies, config, registry, server, readiness, monitor, lease, limits, loads, usage, orders, rollouts, stalls, quarantine, archive, processor } = this.#components
     const { callers, readiness: check } = settings.listen
     await readiness.listen(check, () => this.ready)
     await server.listen(callers.host, callers.port)
@@ -119,7 +119,7 @@
    * while; then accepts no new connections; then waits for open requests until the grace period ends.
    */
   async #drain (): Promise<void> {
-    const { settings, server, readiness, monitor, lease, usage, orders, rollouts, membership } = this.#parts
+    const { settings, server, readiness, monitor, lease, usage, orders, rollouts, membership } = this.#components
     const endsAtMs = steadyNow() + settings.graceMs - LEAVE_RESERVE_MS
     log('daemon-draining', { who: 'signal', open: server.open })
     membership.setSelf({ state: 'draining' })
@@ -139,14 +139,14 @@
   }
 
   async #leave (): Promise<void> {
-    const { membership, server } = this.#parts
+    const { membership, server } = this.#components
     this.#stopTasks()
     await membership.leave(undefined)
     log('daemon-left', { cut: server.open })
   }
 
   #stopTasks (): void {
-    const { config, registry, limits, loads, tallies, rollouts, stalls, quarantine, archive, processor } = this.#parts
+    const { config, registry, limits, loads, tallies, rollouts, stalls, quarantine, archive, processor } = this.#components
     rollouts?.gate.stop()
     rollouts?.follower.stop()
     processor.stop()
--- a/daemon/status.ts
+++ b/daemon/status.ts
@@ -22,7 +22,7 @@
 /** Progress of one rollout. */
 export interface RolloutStatus { pool: string, to: string, from: string | undefined, stage: string, why: string, granted: number }
 
-/** The whole report. */
+/** Status report of one daemon, as JSON for operators. */
 export interface StatusReport {
   daemon: DaemonId
   state: string
