--- a/bench/_placing.ts
+++ b/bench/_placing.ts
@@ -2,7 +2,7 @@
 import FakeTimers from '@sinonjs/fake-timers'
 import xxhash from 'xxhash-wasm'
 import { as, type ClassName, type DaemonId, type EndpointId, type FailureDomain, type HostId, type PoolName } from '../core/ids/index.ts'
-import { LoadBoard, reportIntervalMs, type Hash32, type Random, type Route } from '../core/routing/index.ts'
+import { LoadAggregator, reportIntervalMs, type Hash32, type Random, type Route } from '../core/routing/index.ts'
 import { steadyNow } from '../core/time/index.ts'
 import type { Demand, WorkClass } from '../core/work/index.ts'
 import { EndpointTable } from '../daemon/endpoints/endpoint_table.ts'
@@ -85,7 +85,7 @@
   readonly #random: Random
   readonly #engines = new Map<EndpointId, BatchEngine>()
   readonly #daemons: SimulatedDaemon[]
-  readonly #loadAggregator = new LoadBoard()
+  readonly #loadAggregator = new LoadAggregator()
   #requests = 0
 
   constructor (options: PlacementSimulationOptions) {
@@ -123,7 +123,7 @@
     const work = table.ownWork.map(([endpoint, load]) => [endpoint, structuredClone(load)] as const)
     setTimeout(() => {
       this.#loadAggregator.report(id, work, steadyNow())
-      const others = this.#loadAggregator.othersOf(id, steadyNow())
+      const others = this.#loadAggregator.loadsOfOthers(id, steadyNow())
       setTimeout(() => table.othersWork(others), ONE_WAY_DELAY_MS)
     }, ONE_WAY_DELAY_MS)
   }
--- a/bench/reclaim.ts
+++ b/bench/reclaim.ts
@@ -2,7 +2,7 @@
 import { as, type EndpointId, type RequestId } from '../core/ids/index.ts'
 import {
   BruteForcePlanner, JointPlanner, NOTICE_MARGIN_MS, PrefillPlanner, canFinish, evaluate, exportMs, reclaimWeights, shareImports,
-  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type ThreatenedStream
+  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type AffectedStream
 } from '../core/reclaim/index.ts'
 import type { Random } from '../core/routing/index.ts'
 import { seededRandom } from '../daemon/seeded_random.ts'
@@ -10,7 +10,7 @@
 
 /** Size and optimization goal of a deployment. */
 export interface Shape { name: string, endpoints: number, domains: number, wantsLeast: 'cost' | 'recomputed-work' }
-interface Stream extends ThreatenedStream { promptTokens: number }
+interface Stream extends AffectedStream { promptTokens: number }
 interface Problem extends ReclaimProblem { streams: readonly Stream[] }
 
 const SHAPES: readonly Shape[] = [
@@ -105,7 +105,7 @@
   const sources = new Map<EndpointId, Source>()
   const targets = new Map<EndpointId, Target>()
   for (let i = 0; i < shape.endpoints; i++) {
-    if (i < options.leaving) sources.set(id(i), { id: id(i), noticeMs: options.noticeMs, exportTokensPerS: options.exportTokensPerS ?? ENGINE.exportTokensPerS, share: 1, luck: 0, betweenTokensMs: ENGINE.betweenTokensMs })
+    if (i < options.leaving) sources.set(id(i), { id: id(i), noticeMs: options.noticeMs, exportTokensPerS: options.exportTokensPerS ?? ENGINE.exportTokensPerS, share: 1, roundingDraw: 0, betweenTokensMs: ENGINE.betweenTokensMs })
     else targets.set(id(i), { ...ENGINE, importShare: 1, id: id(i), freeSlots: options.slots ?? Math.round(ENGINE.batchSlots * (1 - SLOT_OCCUPANCY)), freeKvTokens: FREE_KV_TOKENS, pricePerHour: ENGINE.pricePerHour * (0.8 + random() * 0.6) })
   }
   const perSource = Math.round(ENGINE.batchSlots * SLOT_OCCUPANCY)
--- a/bench/route.ts
+++ b/bench/route.ts
@@ -36,7 +36,7 @@
     speed: { batchSlots: 64, prefillTokensPerS: 12_000, betweenTokensMs: 20, betweenTokensPerStreamMs: 0.3, exportTokensPerS: 1, importTokensPerS: 1 },
     others: { running: Math.floor(random() * 40), unread: { urgent: 0, normal: Math.floor(random() * 4000), late: 0 } },
     firstMs: 0,
-    slowness: 1,
+    latencyFactor: 1,
     own: noWork(),
     leavingAtMs: undefined,
     ejectedUntilMs: 0
--- a/core/reclaim/_improve.ts
+++ b/core/reclaim/_improve.ts
@@ -1,10 +1,10 @@
 /** Local search that lowers the price of a plan by reassigning one stream, or by displacing another stream to make room for it. */
 import type { EndpointId } from '../ids/index.ts'
-import { directivePrice, exportBudgetMs, type Directive, type ReclaimProblem, type Source, type ThreatenedStream } from './problem.ts'
+import { directivePrice, exportBudgetMs, type Directive, type ReclaimProblem, type Source, type AffectedStream } from './problem.ts'
 import type { CapacityTracker } from './_rooms.ts'
 
 /** A stream, the directive planned for it and the price of that directive. */
-export interface Placement { stream: ThreatenedStream, directive: Directive, price: number }
+export interface Placement { stream: AffectedStream, directive: Directive, price: number }
 
 /** Gains up to this size count as none. */
 const MIN_GAIN = 1e-12
@@ -99,7 +99,7 @@
 }
 
 /** Returns the cheapest directive that fits; holding the stream always fits. */
-function cheapestFit (stream: ThreatenedStream, { capacity, problem, exportBudgetOf, targets, evaluations }: SearchContext): { directive: Directive, price: number } {
+function cheapestFit (stream: AffectedStream, { capacity, problem, exportBudgetOf, targets, evaluations }: SearchContext): { directive: Directive, price: number } {
   const hold: Directive = { stream: stream.id, action: 'hold' }
   const best: { directive: Directive, price: number } = { directive: hold, price: directivePrice(stream, hold, problem) }
   for (const target of targets) {
--- a/core/reclaim/_rooms.ts
+++ b/core/reclaim/_rooms.ts
@@ -1,6 +1,6 @@
 /** Tracks the capacity that a plan uses at sources and targets. */
 import type { EndpointId } from '../ids/index.ts'
-import { exportMs, usableNoticeMs, type Directive, type ReclaimProblem, type Source, type Target, type ThreatenedStream } from './problem.ts'
+import { exportMs, usableNoticeMs, type Directive, type ReclaimProblem, type Source, type Target, type AffectedStream } from './problem.ts'
 
 /** Capacity used at one target. */
 interface TargetUsage { slots: number, kvTokens: number, importMs: number, prefillTokens: number }
@@ -28,7 +28,7 @@
   }
 
   /** Returns whether the directive fits in addition to those already added. */
-  fits (stream: ThreatenedStream, directive: Directive, exportBudgetMs: (source: Source) => number): boolean {
+  fits (stream: AffectedStream, directive: Directive, exportBudgetMs: (source: Source) => number): boolean {
     if (directive.action === 'hold' || directive.action === 'finish') return true
     const target = this.#problem.targets.get(directive.target)!
     const usage = this.#targetUsage.get(directive.target)!
@@ -42,7 +42,7 @@
   }
 
   /** Adds the usage of a directive, or removes it with a `sign` of -1. */
-  add (stream: ThreatenedStream, directive: Directive, sign: 1 | -1 = 1): void {
+  add (stream: AffectedStream, directive: Directive, sign: 1 | -1 = 1): void {
     if (directive.action === 'hold' || directive.action === 'finish') return
     const usage = this.#targetUsage.get(directive.target)!
     usage.slots += sign
@@ -55,11 +55,11 @@
 }
 
 /** Returns the KV cache size that the stream needs at its target until it ends, in tokens. */
-export function requiredKvTokens (stream: ThreatenedStream): number {
+export function requiredKvTokens (stream: AffectedStream): number {
   return stream.kvTokens + stream.remainingTokens
 }
 
 /** Returns how long the target takes to import the stream's KV cache, in milliseconds. */
-export function importMs (stream: ThreatenedStream, target: Target): number {
+export function importMs (stream: AffectedStream, target: Target): number {
   return stream.kvTokens * 1000 / target.importTokensPerS
 }
--- a/core/reclaim/baselines.ts
+++ b/core/reclaim/baselines.ts
@@ -1,5 +1,5 @@
 /** Reference planners for benchmarks and tests: restart, prefill only, and exhaustive search for small problems. */
-import { canFinish, evaluate, type Directive, type ReclaimPlanner, type ReclaimProblem, type Target, type ThreatenedStream } from './problem.ts'
+import { canFinish, evaluate, type Directive, type ReclaimPlanner, type ReclaimProblem, type Target, type AffectedStream } from './problem.ts'
 
 /** Sends every stream to the target with the most free slots, where the caller of the planner restarts it from scratch. */
 export class RestartPlanner implements ReclaimPlanner {
@@ -16,7 +16,7 @@
 }
 
 /** Returns the number of tokens recomputed when the streams are restarted: prompt and generated tokens. */
-export function restartedTokens (streams: readonly ThreatenedStream[]): number {
+export function restartedTokens (streams: readonly AffectedStream[]): number {
   return streams.reduce((sum, stream) => sum + (stream.movable ? stream.kvTokens : 0), 0)
 }
 
@@ -65,7 +65,7 @@
   }
 }
 
-function possibleDirectives (stream: ThreatenedStream, problem: ReclaimProblem): Directive[] {
+function possibleDirectives (stream: AffectedStream, problem: ReclaimProblem): Directive[] {
   if (canFinish(stream, problem.sources.get(stream.source)!)) return [{ stream: stream.id, action: 'finish' }]
   const moves = [...problem.targets.keys()].flatMap((target): Directive[] => [
     { stream: stream.id, action: 'import', target },
--- a/core/reclaim/joint_planner.ts
+++ b/core/reclaim/joint_planner.ts
@@ -5,7 +5,7 @@
 import { CapacityTracker } from './_rooms.ts'
 import {
   canFinish, directivePrice, exportBudgetMs, exportMs, usableNoticeMs,
-  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type ThreatenedStream
+  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type AffectedStream
 } from './problem.ts'
 
 /** Options of {@linkcode JointPlanner}. */
@@ -15,7 +15,7 @@
 }
 
 /** A stream whose KV cache is cheaper to move than to recompute, and the money that this saves. */
-interface ExportCandidate { stream: ThreatenedStream, savings: number }
+interface ExportCandidate { stream: AffectedStream, savings: number }
 
 /** Targets with enough capacity that the greedy pass compares for one stream. */
 const MAX_TARGETS_PER_STREAM = 12
@@ -57,7 +57,7 @@
 }
 
 /** Selects the streams to export, in descending order of savings. */
-function selectExports (streams: Iterable<ThreatenedStream>, targets: readonly Target[], problem: ReclaimProblem): ThreatenedStream[] {
+function selectExports (streams: Iterable<AffectedStream>, targets: readonly Target[], problem: ReclaimProblem): AffectedStream[] {
   const candidatesBySource = new Map<EndpointId, ExportCandidate[]>()
   for (const stream of streams) {
     const candidates = candidatesBySource.get(stream.source) ?? []
@@ -85,11 +85,11 @@
   const next = candidates.filter((candidate) => !chosen.includes(candidate)).sort((a, b) => b.savings - a.savings)[0]
   if (!next) return chosen
   const neededMs = exportMs(next.stream, source)
-  return neededMs <= usableNoticeMs(source) && source.luck < unusedMs / neededMs ? [...chosen, next] : chosen
+  return neededMs <= usableNoticeMs(source) && source.roundingDraw < unusedMs / neededMs ? [...chosen, next] : chosen
 }
 
 /** Money saved by moving the KV cache compared with the cheapest prefill. */
-function exportSavings (stream: ThreatenedStream, targets: readonly Target[], problem: ReclaimProblem): number {
+function exportSavings (stream: AffectedStream, targets: readonly Target[], problem: ReclaimProblem): number {
   const cheapest = targets[0]
   if (!cheapest) return 0
   const importPrice = directivePrice(stream, { stream: stream.id, action: 'import', target: cheapest.id }, problem)
@@ -104,7 +104,7 @@
  * Places a stream on the cheapest of the first {@linkcode MAX_TARGETS_PER_STREAM} targets with enough capacity. A prefill also considers all targets that
  * cache part of the prompt. Among equal prices the target with the fewest assigned streams is chosen.
  */
-function placeGreedily (stream: ThreatenedStream, action: 'import' | 'prefill', targets: readonly Target[], capacity: CapacityTracker, problem: ReclaimProblem): Placement | undefined {
+function placeGreedily (stream: AffectedStream, action: 'import' | 'prefill', targets: readonly Target[], capacity: CapacityTracker, problem: ReclaimProblem): Placement | undefined {
   const exportBudgetOf = action === 'import' ? usableNoticeMs : exportBudgetMs
   let best: Placement | undefined
   let bestAssignedStreams = 0
@@ -129,11 +129,11 @@
   return best
 }
 
-function holdPlacement (stream: ThreatenedStream, problem: ReclaimProblem): Placement {
+function holdPlacement (stream: AffectedStream, problem: ReclaimProblem): Placement {
   const directive: Directive = { stream: stream.id, action: 'hold' }
   return { stream, directive, price: directivePrice(stream, directive, problem) }
 }
 
-function sortByDeadline (streams: Iterable<ThreatenedStream>): ThreatenedStream[] {
+function sortByDeadline (streams: Iterable<AffectedStream>): AffectedStream[] {
   return [...streams].sort((a, b) => a.deadlineInMs - b.deadlineInMs)
 }
--- a/core/reclaim/problem.ts
+++ b/core/reclaim/problem.ts
@@ -2,7 +2,7 @@
 import type { EndpointId, RequestId } from '../ids/index.ts'
 
 /** A running stream on an endpoint that is being reclaimed. */
-export interface ThreatenedStream {
+export interface AffectedStream {
   id: RequestId
   source: EndpointId
   /** Prompt tokens plus generated tokens, which is the size of its KV cache. */
@@ -27,7 +27,7 @@
   /** Fraction of that bandwidth available to this daemon: its fraction of the endpoint's streams, or 1 when it plans for all of them. */
   share: number
   /** Random number in [0, 1), drawn once per plan. Decides whether a stream that exceeds the share is exported. */
-  luck: number
+  roundingDraw: number
   /** Milliseconds between tokens at the current load. */
   betweenTokensMs: number
 }
@@ -56,7 +56,7 @@
 
 /** Input of a planner. */
 export interface ReclaimProblem {
-  streams: readonly ThreatenedStream[]
+  streams: readonly AffectedStream[]
   sources: ReadonlyMap<EndpointId, Source>
   targets: ReadonlyMap<EndpointId, Target>
   weights: ReclaimWeights
@@ -87,7 +87,7 @@
 }
 
 /** Returns whether the stream can stay on its source: it is not movable, or it ends within the usable notice. */
-export function canFinish (stream: ThreatenedStream, source: Source): boolean {
+export function canFinish (stream: AffectedStream, source: Source): boolean {
   return !stream.movable || stream.remainingTokens * source.betweenTokensMs <= usableNoticeMs(source)
 }
 
@@ -97,23 +97,23 @@
 }
 
 /** Returns how long the source takes to export the stream's KV cache, in milliseconds. */
-export function exportMs (stream: ThreatenedStream, source: Source): number {
+export function exportMs (stream: AffectedStream, source: Source): number {
   return stream.kvTokens * 1000 / source.exportTokensPerS
 }
 
 /** Returns the number of tokens that a prefill on the target recomputes. */
-export function prefillTokens (stream: ThreatenedStream, target: Target): number {
+export function prefillTokens (stream: AffectedStream, target: Target): number {
   return Math.max(0, stream.kvTokens - (stream.cachedTokens.get(target.id) ?? 0))
 }
 
 /** Returns the price of running the rest of the stream on the target. */
-export function runPrice (stream: ThreatenedStream, target: Target): number {
+export function runPrice (stream: AffectedStream, target: Target): number {
   const ms = stream.remainingTokens * target.betweenTokensMs
   return target.pricePerHour * ms / MS_PER_HOUR / target.batchSlots
 }
 
 /** Returns the total price of a directive: recomputation, the rest of the run, and the penalty for a missed deadline. */
-export function directivePrice (stream: ThreatenedStream, directive: Directive, problem: ReclaimProblem): number {
+export function directivePrice (stream: AffectedStream, directive: Directive, problem: ReclaimProblem): number {
   if (directive.action === 'finish') return 0
   if (directive.action === 'hold') return holdPrice(stream, problem)
   const target = problem.targets.get(directive.target)!
@@ -123,7 +123,7 @@
 }
 
 /** Prices holding as a later prefill on the worst target, because capacity is expected to be scarce by then. */
-function holdPrice (stream: ThreatenedStream, problem: ReclaimProblem): number {
+function holdPrice (stream: AffectedStream, problem: ReclaimProblem): number {
   const worst = worstTarget(problem.targets)
   const delayMs = EXPECTED_HOLD_MS + stream.kvTokens * worst.prefillMsPerToken + stream.remainingTokens * worst.betweenTokensMs
   return stream.kvTokens * problem.weights.recomputedToken + stream.remainingTokens * worst.pricePerToken + missedDeadlinePrice(stream, delayMs, problem)
@@ -148,7 +148,7 @@
   return worst
 }
 
-function missedDeadlinePrice (stream: ThreatenedStream, delayMs: number, problem: ReclaimProblem): number {
+function missedDeadlinePrice (stream: AffectedStream, delayMs: number, problem: ReclaimProblem): number {
   return delayMs > stream.deadlineInMs ? problem.weights.missedDeadline : 0
 }
 
--- a/core/reclaim/reclaim_test.ts
+++ b/core/reclaim/reclaim_test.ts
@@ -3,14 +3,14 @@
 import { as, type EndpointId, type RequestId } from '../ids/index.ts'
 import {
   BruteForcePlanner, JointPlanner, PrefillPlanner, evaluate, reclaimWeights,
-  type Directive, type ReclaimProblem, type Source, type Target, type ThreatenedStream
+  type Directive, type ReclaimProblem, type Source, type Target, type AffectedStream
 } from './index.ts'
 
 const SEED = 7
 const id = (name: string) => as<EndpointId>(name)
 
 function source (name: string, change: Partial<Source> = {}): Source {
-  return { id: id(name), noticeMs: 2300, exportTokensPerS: 1000, share: 1, luck: 0, betweenTokensMs: 10, ...change }
+  return { id: id(name), noticeMs: 2300, exportTokensPerS: 1000, share: 1, roundingDraw: 0, betweenTokensMs: 10, ...change }
 }
 
 function target (name: string, change: Partial<Target> = {}): Target {
@@ -28,11 +28,11 @@
   }
 }
 
-function stream (name: string, change: Partial<ThreatenedStream> = {}): ThreatenedStream {
+function stream (name: string, change: Partial<AffectedStream> = {}): AffectedStream {
   return { id: as<RequestId>(name), source: id('s'), kvTokens: 1000, remainingTokens: 1000, deadlineInMs: 60_000, movable: true, cachedTokens: new Map(), ...change }
 }
 
-function problemOf (streams: ThreatenedStream[], sources: Source[], targets: Target[]): ReclaimProblem {
+function problemOf (streams: AffectedStream[], sources: Source[], targets: Target[]): ReclaimProblem {
   return {
     streams,
     sources: new Map(sources.map((each) => [each.id, each])),
@@ -66,7 +66,7 @@
   const daemons = 40
   let exportedMs = 0
   for (let daemon = 0; daemon < daemons; daemon++) {
-    const shared = source('s', { noticeMs: 20_300, share: 1 / daemons, luck: daemon / daemons })
+    const shared = source('s', { noticeMs: 20_300, share: 1 / daemons, roundingDraw: daemon / daemons })
     const problem = problemOf([stream('one', { remainingTokens: 5000 })], [shared], [target('t')])
     if (new JointPlanner().plan(problem)[0]!.action === 'import') exportedMs += 1000
   }
--- a/core/registry/departures.ts
+++ b/core/registry/departures.ts
@@ -28,20 +28,20 @@
   readonly #returnedAtMs = new Map<HostId, number>()
 
   /** Records that a list shows a host as live, with the version at which its entry was written. If that is later than its departure, the host has returned. */
-  shown (host: HostId, { version, now }: { version: number, now: number }): void {
+  recordLive (host: HostId, { version, now }: { version: number, now: number }): void {
     this.#liveEntryVersions.set(host, Math.max(version, this.#liveEntryVersions.get(host) ?? 0))
     const departure = this.#departures.get(host)
-    if (departure?.version !== undefined && version > departure.version) this.returned(host, now)
+    if (departure?.version !== undefined && version > departure.version) this.recordReturn(host, now)
   }
 
   /** Returns whether a peer's report of a departure dates from before the host returned. */
-  isOld (host: HostId, { version, now }: { version: number | undefined, now: number }): boolean {
+  isOutdated (host: HostId, { version, now }: { version: number | undefined, now: number }): boolean {
     if (version === undefined) return now - (this.#returnedAtMs.get(host) ?? -Infinity) < GOSSIP_MS
     return (this.#liveEntryVersions.get(host) ?? -Infinity) > version
   }
 
   /** Records a departure and keeps the latest registry version reported for it. */
-  note (host: HostId, { goneAtMs, version }: Departure): void {
+  record (host: HostId, { goneAtMs, version }: Departure): void {
     const knownVersion = this.#departures.get(host)?.version
     const latestVersion = knownVersion === undefined ? version : Math.max(knownVersion, version ?? knownVersion)
     this.#departures.set(host, { goneAtMs, version: latestVersion })
@@ -51,13 +51,13 @@
   of (host: HostId): Departure | undefined { return this.#departures.get(host) }
 
   /** Records that a host reported as gone is live. */
-  returned (host: HostId, now: number): void {
+  recordReturn (host: HostId, now: number): void {
     this.#returnedAtMs.set(host, now)
     this.#departures.delete(host)
   }
 
   /** Removes expired records of hosts that are not listed. */
-  forget (now: number, isListed: (host: HostId) => boolean): void {
+  prune (now: number, isListed: (host: HostId) => boolean): void {
     for (const [host, { goneAtMs }] of this.#departures) if (now > goneAtMs + RETENTION_MS && !isListed(host)) this.#departures.delete(host)
     for (const [host, atMs] of this.#returnedAtMs) if (now > atMs + GOSSIP_MS) this.#returnedAtMs.delete(host)
     for (const host of this.#liveEntryVersions.keys()) if (!isListed(host) && !this.#departures.has(host)) this.#liveEntryVersions.delete(host)
--- a/core/registry/lapsed_entries.ts
+++ b/core/registry/lapsed_entries.ts
@@ -26,7 +26,7 @@
   /** Why an outage is suspected. */
   why: string
   /** Held entries that were written again. */
-  back: string[]
+  restored: string[]
   /** Entries whose endpoints have left. */
   gone: string[]
 }
@@ -78,20 +78,20 @@
   }
 
   /** Processes a snapshot and classifies the entries that are missing from it or have returned. */
-  take (snapshot: RegistrySnapshot): VanishedEntries {
+  update (snapshot: RegistrySnapshot): VanishedEntries {
     const { entries, now } = snapshot
     const missing = [...this.#present].filter(([name]) => !entries.has(name))
     const unexpectedlyMissing = missing.filter(([, { leaving }]) => !leaving)
     this.#detectOutage(snapshot, unexpectedlyMissing.length)
     const back = this.held.filter((name) => entries.has(name))
     for (const name of back) this.#held.delete(name)
-    const expired = this.overdue(now)
+    const expired = this.removeOverdue(now)
     const held = unexpectedlyMissing.filter(([, entry]) => this.#mayHaveLapsed(entry, now)).map(([name]) => name)
     for (const name of held) this.#held.set(name, this.#outage.untilMs)
     this.#present = entries
     this.#lastSnapshot = { version: snapshot.version, atMs: now }
     const departed = missing.map(([name]) => name).filter((name) => !this.#held.has(name))
-    return { held, why: this.#outage.why, back, gone: [...expired, ...departed] }
+    return { held, why: this.#outage.why, restored: back, gone: [...expired, ...departed] }
   }
 
   /** Names of the held entries. */
@@ -103,7 +103,7 @@
   }
 
   /** Stops holding the entries that did not return in time and returns their names. */
-  overdue (now: number): string[] {
+  removeOverdue (now: number): string[] {
     const expired = this.held.filter((name) => this.#held.get(name)! <= now)
     for (const name of expired) this.#held.delete(name)
     return expired
--- a/core/registry/newest_starts.ts
+++ b/core/registry/newest_starts.ts
@@ -11,7 +11,7 @@
   readonly #latest = new Map<string, { startedAtMs: number, listedAtMs: number }>()
 
   /** Records a listed start and returns its order. All times are in milliseconds; `startedAtMs` is on the endpoint's clock. */
-  listed (name: string, startedAtMs: number, now: number): StartOrder {
+  record (name: string, startedAtMs: number, now: number): StartOrder {
     const known = this.#latest.get(name)
     if (known && startedAtMs < known.startedAtMs) return 'earlier'
     this.#latest.set(name, { startedAtMs, listedAtMs: now })
@@ -20,7 +20,7 @@
   }
 
   /** Removes endpoints that have not been listed for {@linkcode RETENTION_MS}. */
-  forget (now: number): void {
+  prune (now: number): void {
     for (const [name, { listedAtMs }] of this.#latest) if (now > listedAtMs + RETENTION_MS) this.#latest.delete(name)
   }
 }
--- a/core/relay/news_sources.ts
+++ b/core/relay/news_sources.ts
@@ -30,7 +30,7 @@
  * @returns Daemons to ask, in order of preference; empty if this daemon watches the store itself.
  * @example `changeSources(self, working, { hash })[0] ?? 'the store'`
  */
-export function newsSources (self: Member, working: readonly Member[], options: ChangeSourcesOptions): Member[] {
+export function changeSources (self: Member, working: readonly Member[], options: ChangeSourcesOptions): Member[] {
   const ranked = rankedFor(WATCH_JOB, working, options.hash)
   const watchers = selectWatchers(ranked)
   if (includesId(watchers, self.id)) return []
--- a/core/routing/endpoint_view.ts
+++ b/core/routing/endpoint_view.ts
@@ -1,7 +1,7 @@
 /** A daemon's view of an endpoint, built from the host list, its own requests in flight and the load reported by other daemons. */
 import type { EndpointId, EndpointVersion, FailureDomain, HostId, PoolName } from '../ids/index.ts'
-import type { Pace } from './reading_pace.ts'
-import { slowdownFactor, type StreamRhythm } from './stream_rhythm.ts'
+import type { FirstTokenModel } from './reading_pace.ts'
+import { slowdownFactor, type ChunkIntervalEstimator } from './stream_rhythm.ts'
 import { unreadBefore, type Lane, type WorkLoad } from './work_load.ts'
 
 /** Speed and capacity of an endpoint, as published by its engine or as learned. */
@@ -41,13 +41,13 @@
   /** Initial estimate of the time to the first token, or to the whole answer of a plain call, without queueing and prefill, in milliseconds. */
   firstMs: number
   /** First-token latency model learned for the pool. Default: derived from the published speed. */
-  pace?: Pace
+  firstTokenModel?: FirstTokenModel
   /** Learned interval between chunks of the endpoint's streams. Default: unknown. */
-  rhythm?: StreamRhythm
+  chunkInterval?: ChunkIntervalEstimator
   /** Learned interval between chunks over the whole pool. Default: unknown. */
-  poolRhythm?: StreamRhythm
+  poolChunkInterval?: ChunkIntervalEstimator
   /** Learned ratio of actual to predicted first-token latency. */
-  slowness: number
+  latencyFactor: number
   /** Work of the other daemons, as last reported. */
   others: WorkLoad
   /** Work of this daemon, updated immediately. */
@@ -96,16 +96,16 @@
 export function predictFirstTokenMs (view: EndpointView, uncachedTokens: number, lane: Lane = 'late', context?: PredictionContext): number {
   const unreported = context ? unreportedDaemons(view, context) : 0
   const unread = unreadNow(view, lane) + uncachedTokens + unreported * unreadBefore(view.own, lane)
-  const { firstMs, msPerToken } = paceOf(view)
+  const { firstMs, msPerToken } = firstTokenModelOf(view)
   const excessRequests = runningNow(view) + unreported * view.own.running + 1 - view.speed.batchSlots
   const slotMs = excessRequests > 0 ? Math.max(MIN_SLOT_WAIT_MS, firstMs) * excessRequests / view.speed.batchSlots : 0
-  const factor = context ? slowdownFactor(view.rhythm, view.poolRhythm, context.now) : 1
-  return (firstMs + unread * msPerToken + slotMs) * (factor > 1 ? Math.max(view.slowness, factor) : view.slowness)
+  const factor = context ? slowdownFactor(view.chunkInterval, view.poolChunkInterval, context.now) : 1
+  return (firstMs + unread * msPerToken + slotMs) * (factor > 1 ? Math.max(view.latencyFactor, factor) : view.latencyFactor)
 }
 
 /** Returns the first-token latency model learned for the endpoint's pool, or one derived from its published speed. */
-export function paceOf (view: EndpointView): Pace {
-  return view.pace ?? { firstMs: view.firstMs, msPerToken: MS_PER_S / view.speed.prefillTokensPerS }
+export function firstTokenModelOf (view: EndpointView): FirstTokenModel {
+  return view.firstTokenModel ?? { firstMs: view.firstMs, msPerToken: MS_PER_S / view.speed.prefillTokensPerS }
 }
 
 /** Ratio of a stream's longest interval to its typical one. Logs show 1.4 or less for 99% of streams in full batches. */
@@ -113,7 +113,7 @@
 
 /** Returns false if recent streams of the endpoint show intervals between chunks that would exceed the target. */
 export function meetsIntervalTarget (view: EndpointView, targetMs: number | undefined, now: number): boolean {
-  const intervalMs = view.rhythm?.pauseMs(now)
+  const intervalMs = view.chunkInterval?.intervalMs(now)
   return targetMs === undefined || intervalMs === undefined || intervalMs * MAX_INTERVAL_RATIO <= targetMs
 }
 
--- a/core/routing/load_board.ts
+++ b/core/routing/load_board.ts
@@ -35,7 +35,7 @@
  * Sums are updated incrementally. If they were recomputed for each query, the cost for the aggregating daemon would grow with the square of the number of
  * daemons.
  */
-export class LoadBoard {
+export class LoadAggregator {
   readonly #reports = new Map<DaemonId, WorkReport>()
   readonly #sums = new Map<EndpointId, WorkLoad>()
   #sweptAtMs = -Infinity
@@ -50,7 +50,7 @@
   }
 
   /** Returns the work of all daemons except one, by endpoint. */
-  othersOf (daemon: DaemonId, now: number): EndpointWork[] {
+  loadsOfOthers (daemon: DaemonId, now: number): EndpointWork[] {
     this.#sweep(now)
     const ownLoads = this.#reports.get(daemon)?.loads
     return [...this.#sums].map(([endpoint, sum]) => {
--- a/core/routing/reading_pace.ts
+++ b/core/routing/reading_pace.ts
@@ -1,7 +1,7 @@
 /** Learns the first-token latency of a pool's engines from observed first tokens. */
 
 /** Linear model of the time to the first token. */
-export interface Pace {
+export interface FirstTokenModel {
   /** Milliseconds to the first token without prefill. */
   firstMs: number
   /** Milliseconds that each prompt token to be prefilled adds. */
@@ -19,7 +19,7 @@
 /** Options of {@linkcode FirstTokenEstimator}. */
 export interface FirstTokenEstimatorOptions {
   /** Estimate before any observation. */
-  first: Pace
+  prior: FirstTokenModel
 }
 
 /** Decay of the weight of older samples with each new one. The last 140 first tokens have half of the weight; any significant load produces them within seconds. */
@@ -46,7 +46,7 @@
  * Engines of another deployment may prefill at half or twice the speed. With a fixed estimate an endpoint would count as in time although two queued prompts
  * make it late, and a fleet of half the required size would be ordered.
  */
-export class ReadingPace implements Pace {
+export class FirstTokenEstimator implements FirstTokenModel {
   #weightSum = 0
   #tokenSum = 0
   #tokenSquareSum = 0
@@ -57,7 +57,7 @@
   firstMs: number
   msPerToken: number
 
-  constructor ({ first }: FirstTokenEstimatorOptions) {
+  constructor ({ prior: first }: FirstTokenEstimatorOptions) {
     this.firstMs = first.firstMs
     this.msPerToken = first.msPerToken
     for (const tokens of [0, PRIOR_PROMPT_TOKENS]) {
--- a/core/routing/router.ts
+++ b/core/routing/router.ts
@@ -1,6 +1,6 @@
 /** Selects an endpoint for one request. */
 import type { EndpointId } from '../ids/index.ts'
-import { meetsIntervalTarget, paceOf, predictBetweenTokensMs, predictFirstTokenMs, runningNow, unreadNow, type EndpointView, type PredictionContext } from './endpoint_view.ts'
+import { meetsIntervalTarget, firstTokenModelOf, predictBetweenTokensMs, predictFirstTokenMs, runningNow, unreadNow, type EndpointView, type PredictionContext } from './endpoint_view.ts'
 import type { Lane } from './work_load.ts'
 
 /** Properties of a request that a router needs. */
@@ -48,7 +48,7 @@
   /** Returns the number of daemons that use one endpoint. Default: only this one. */
   sharers? (): number
   /** Returns the network round-trip time to an endpoint, in milliseconds. Default: 0. */
-  wayMs? (view: EndpointView): number
+  roundTripMs? (view: EndpointView): number
 }
 
 const DEFAULT_CHOICES = 2
@@ -99,8 +99,8 @@
   /** Returns the price of the request on this endpoint, or the predicted wait if the target is missed. Lower is better. */
   #score (query: RouteQuery, route: Route): number {
     const { view } = route
-    const delayToOthersMs = DELAY_TO_OTHERS_WEIGHT * route.uncachedTokens * paceOf(view).msPerToken
-    const waitMs = route.firstTokenMs + delayToOthersMs + (this.#options.wayMs?.(view) ?? 0) + FULL_BATCH_PENALTY_MS * runningNow(view) / view.speed.batchSlots
+    const delayToOthersMs = DELAY_TO_OTHERS_WEIGHT * route.uncachedTokens * firstTokenModelOf(view).msPerToken
+    const waitMs = route.firstTokenMs + delayToOthersMs + (this.#options.roundTripMs?.(view) ?? 0) + FULL_BATCH_PENALTY_MS * runningNow(view) / view.speed.batchSlots
     if (!route.meetsTarget) return waitMs
     const runMs = route.firstTokenMs + query.expectedTokens * predictBetweenTokensMs(view)
     const runPrice = view.pricePerHour * (runMs / MS_PER_HOUR) / view.speed.batchSlots
--- a/core/routing/routing_test.ts
+++ b/core/routing/routing_test.ts
@@ -20,7 +20,7 @@
     speed: { batchSlots: 8, prefillTokensPerS: 1000, betweenTokensMs: 20, betweenTokensPerStreamMs: 1, exportTokensPerS: 1, importTokensPerS: 1 },
     others: { running: 0, unread: { urgent: 0, normal: 0, late: 0 } },
     firstMs: 0,
-    slowness: 1,
+    latencyFactor: 1,
     own: noWork(),
     leavingAtMs: undefined,
     ejectedUntilMs: 0,
--- a/core/routing/speed_learner.ts
+++ b/core/routing/speed_learner.ts
@@ -19,7 +19,7 @@
 const MAX_RATIO = 4
 
 /** Returns the latency factor updated with a sample. Predictions are multiplied by this factor. */
-export function learnSlowness (latencyFactor: number, sample: FirstTokenSample): number {
+export function updateLatencyFactor (latencyFactor: number, sample: FirstTokenSample): number {
   // The prediction already includes the factor, so it is divided out again.
   const ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, sample.actualMs * latencyFactor / Math.max(1, sample.predictedMs)))
   return latencyFactor + SMOOTHING * (ratio - latencyFactor)
--- a/core/routing/stream_rhythm.ts
+++ b/core/routing/stream_rhythm.ts
@@ -15,7 +15,7 @@
 const MIN_SAMPLES = 3
 
 /** Estimates the typical interval between chunks for the streams of an endpoint or of a pool. */
-export class StreamRhythm {
+export class ChunkIntervalEstimator {
   readonly #smoothing: number
   #meanMs = 0
   #samples = 0
@@ -34,7 +34,7 @@
   }
 
   /** Returns the typical interval in milliseconds; undefined if there are too few recent samples. */
-  pauseMs (now: number): number | undefined {
+  intervalMs (now: number): number | undefined {
     return this.#samples >= MIN_SAMPLES && now - this.#lastSampleAtMs <= MAX_SAMPLE_AGE_MS ? this.#meanMs : undefined
   }
 }
@@ -48,9 +48,9 @@
  * An endpoint may become slow while its streams run. First tokens show this only after requests were already late, whereas every chunk of every stream shows
  * it immediately.
  */
-export function slowdownFactor (endpoint: StreamRhythm | undefined, pool: StreamRhythm | undefined, now: number): number {
-  const intervalMs = endpoint?.pauseMs(now)
-  const poolIntervalMs = pool?.pauseMs(now)
+export function slowdownFactor (endpoint: ChunkIntervalEstimator | undefined, pool: ChunkIntervalEstimator | undefined, now: number): number {
+  const intervalMs = endpoint?.intervalMs(now)
+  const poolIntervalMs = pool?.intervalMs(now)
   if (intervalMs === undefined || poolIntervalMs === undefined || poolIntervalMs <= 0) return 1
   const factor = intervalMs / poolIntervalMs
   return factor >= MIN_SLOWDOWN ? factor : 1
--- a/core/routing/stream_rhythm_test.ts
+++ b/core/routing/stream_rhythm_test.ts
@@ -1,16 +1,16 @@
 import { expect, test } from 'vitest'
 import { as } from '../ids/index.ts'
-import { meetsIntervalTarget, noWork, POOL_SMOOTHING, slowdownFactor, StreamRhythm, TargetRouter, type EndpointView, type RouteQuery } from './index.ts'
+import { meetsIntervalTarget, noWork, POOL_SMOOTHING, slowdownFactor, ChunkIntervalEstimator, TargetRouter, type EndpointView, type RouteQuery } from './index.ts'
 
-function view (name: string, rhythm: StreamRhythm, poolRhythm: StreamRhythm): EndpointView {
+function view (name: string, rhythm: ChunkIntervalEstimator, poolRhythm: ChunkIntervalEstimator): EndpointView {
   const speed = { batchSlots: 48, prefillTokensPerS: 50_000, betweenTokensMs: 4, betweenTokensPerStreamMs: 0.1, exportTokensPerS: 0, importTokensPerS: 0 }
-  return { id: as(name), hostId: as(name), pool: as('p'), failureDomain: as('d'), address: name, pricePerHour: 0, reclaimable: true, speed, firstMs: 50, rhythm, poolRhythm, slowness: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
+  return { id: as(name), hostId: as(name), pool: as('p'), failureDomain: as('d'), address: name, pricePerHour: 0, reclaimable: true, speed, firstMs: 50, chunkInterval: rhythm, poolChunkInterval: poolRhythm, latencyFactor: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
 }
 
 /** Simulates one second of three streams at each endpoint; those at `slow` run at a fifth of the speed. */
 function simulateStreams () {
-  const pool = new StreamRhythm({ smoothing: POOL_SMOOTHING })
-  const [good, slow] = [new StreamRhythm(), new StreamRhythm()]
+  const pool = new ChunkIntervalEstimator({ smoothing: POOL_SMOOTHING })
+  const [good, slow] = [new ChunkIntervalEstimator(), new ChunkIntervalEstimator()]
   for (let now = 0; now <= 1000; now += 125) {
     for (let i = 0; i < 9; i++) pool.learn(125, now)
     for (let i = 0; i < 3; i++) good.learn(125, now)
@@ -35,8 +35,8 @@
 
 test('old samples expire, so that the endpoint gets work again and yields new ones', () => {
   const { pool, good, slow } = simulateStreams()
-  expect(slow.pauseMs(1000)).toBe(625)
-  expect(slow.pauseMs(4000)).toBeUndefined()
+  expect(slow.intervalMs(1000)).toBe(625)
+  expect(slow.intervalMs(4000)).toBeUndefined()
   expect([meetsIntervalTarget(view('slow', slow, pool), 300, 4000), slowdownFactor(slow, pool, 4000)]).toEqual([true, 1])
   expect([meetsIntervalTarget(view('good', good, pool), 300, 1000), slowdownFactor(good, pool, 1000)]).toEqual([true, 1])
 })
--- a/daemon/endpoints/endpoint_follower.ts
+++ b/daemon/endpoints/endpoint_follower.ts
@@ -83,7 +83,7 @@
 
   #onAnswer (objects: ReadonlyMap<string, StoredObject>, version: number): void {
     const listed = this.#decodeAll(objects)
-    const vanished = this.#lapsedEntries.take({ entries: this.#entryStates(objects, listed), version, afterFailure: !this.#follower.reached, now: steadyNow() })
+    const vanished = this.#lapsedEntries.update({ entries: this.#entryStates(objects, listed), version, afterFailure: !this.#follower.reached, now: steadyNow() })
     this.#logHeld(vanished, listed)
     this.#appliedVersion = version
     this.#apply([...listed.values(), ...this.#appliedNamed(this.#lapsedEntries.held)], vanished.gone)
@@ -109,7 +109,7 @@
   }
 
   /** Logs which endpoints are held. Without these lines, an attempt at an endpoint without an entry could not be explained. */
-  #logHeld ({ held, why, back }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
+  #logHeld ({ held, why, restored: back }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
     const untilMs = this.#lapsedEntries.untilMs ?? steadyNow()
     if (held.length > 0) log('endpoints-held', { endpoints: this.#appliedNamed(held).map(({ id }) => id), why, forMs: Math.round(untilMs - steadyNow()) })
     if (back.length > 0) log('endpoints-back', { endpoints: back.flatMap((name) => listed.get(name)?.id ?? []) })
@@ -143,7 +143,7 @@
   }
 
   #expireHeld (): void {
-    const overdue = this.#lapsedEntries.overdue(steadyNow())
+    const overdue = this.#lapsedEntries.removeOverdue(steadyNow())
     this.#scheduleExpiry()
     if (overdue.length === 0) return
     log('endpoints-not-back', { endpoints: this.#appliedNamed(overdue).map(({ id }) => id) })
--- a/daemon/endpoints/endpoint_table.ts
+++ b/daemon/endpoints/endpoint_table.ts
@@ -2,8 +2,8 @@
 import type { DaemonId, EndpointId, EndpointVersion, HostId, PoolName } from '../../core/ids/index.ts'
 import { Departures, NewestStarts, type Departure } from '../../core/registry/index.ts'
 import {
-  learnSlowness, noWork, paceOf, POOL_SMOOTHING, ReadingPace, StreamRhythm, subset, unreadBefore,
-  type EndpointLoad, type EndpointView, type EndpointWork, type FirstTokenSample, type Hash32, type Lane, type Pace
+  updateLatencyFactor, noWork, firstTokenModelOf, POOL_SMOOTHING, FirstTokenEstimator, ChunkIntervalEstimator, subset, unreadBefore,
+  type EndpointLoad, type EndpointView, type EndpointWork, type FirstTokenSample, type Hash32, type Lane, type FirstTokenModel
 } from '../../core/routing/index.ts'
 import { countFailure, NO_FAILURES, type FailureCount } from '../../core/retry/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
@@ -46,8 +46,8 @@
   readonly #options: EndpointTableOptions
   readonly #views = new Map<EndpointId, EndpointView>()
   readonly #byHost = new Map<HostId, EndpointId>()
-  readonly #paces = new Map<PoolName, ReadingPace>()
-  readonly #rhythms = new Map<PoolName, StreamRhythm>()
+  readonly #paces = new Map<PoolName, FirstTokenEstimator>()
+  readonly #rhythms = new Map<PoolName, ChunkIntervalEstimator>()
   readonly #failures = new Map<EndpointId, FailureCount>()
   readonly #subsets = new Map<PoolName, EndpointView[]>()
   readonly #usable = new Map<PoolName, EndpointView[]>()
@@ -137,7 +137,7 @@
     const current = hosts.filter((host) => this.#isNewestStart(host))
     const listedIds = new Set(current.map((host) => host.endpoint.id))
     this.#listedIds = listedIds
-    for (const { state, hostId, version } of current) if (state === 'live' && version !== undefined) this.#departures.shown(hostId, { version, now: steadyNow() })
+    for (const { state, hostId, version } of current) if (state === 'live' && version !== undefined) this.#departures.recordLive(hostId, { version, now: steadyNow() })
     for (const host of current) if (!this.#views.has(host.endpoint.id)) this.#add(host)
     for (const view of this.all) if (!listedIds.has(view.id) && view.own.running === 0) this.#remove(view)
     this.#clearSelections()
@@ -165,7 +165,7 @@
    */
   #isNewestStart ({ endpoint }: ListedHost): boolean {
     const name = nameOf(endpoint)
-    const start = this.#starts.listed(name, endpoint.startedAtMs ?? 0, steadyNow())
+    const start = this.#starts.record(name, endpoint.startedAtMs ?? 0, steadyNow())
     if (start === 'later') this.#endEarlierInstances(name, endpoint.id)
     return start !== 'earlier'
   }
@@ -194,11 +194,11 @@
   #applyLeaving (hosts: readonly HostId[], { goneAtMs, version, signal }: Departure & { signal: LeavingSignal }): void {
     const news: Parameters<LeavingListener>[0] = []
     for (const host of hosts) {
-      if (signal === 'peer' && this.#departures.isOld(host, { version, now: steadyNow() })) continue
+      if (signal === 'peer' && this.#departures.isOutdated(host, { version, now: steadyNow() })) continue
       const id = this.#byHost.get(host)
-      if (id === undefined) this.#departures.note(host, { goneAtMs, version })
+      if (id === undefined) this.#departures.record(host, { goneAtMs, version })
       else if (this.#addsInformation(id, goneAtMs, signal)) news.push({ view: this.#markLeaving(id, { goneAtMs, version }), goneAtMs, version, signal })
-      else this.#departures.note(host, { goneAtMs, version })
+      else this.#departures.record(host, { goneAtMs, version })
     }
     if (news.length === 0) return
     this.#clearSelections()
@@ -216,7 +216,7 @@
     const view = this.#views.get(id)!
     view.leavingAtMs ??= steadyNow()
     this.#goneAt.set(id, departure.goneAtMs)
-    this.#departures.note(view.hostId, departure)
+    this.#departures.record(view.hostId, departure)
     return view
   }
 
@@ -267,7 +267,7 @@
   learnt (id: EndpointId, sample: FirstTokenSample): void {
     const view = this.#views.get(id)
     if (!view) return
-    view.slowness = learnSlowness(view.slowness, sample)
+    view.latencyFactor = updateLatencyFactor(view.latencyFactor, sample)
     if (sample.unreadTokens !== undefined) this.#paces.get(view.pool)?.learn({ unreadTokens: sample.unreadTokens, firstMs: sample.actualMs })
   }
 
@@ -275,16 +275,16 @@
   paused (id: EndpointId, pauseMs: number): void {
     const view = this.#views.get(id)
     const now = steadyNow()
-    view?.rhythm?.learn(pauseMs, now)
-    view?.poolRhythm?.learn(pauseMs, now)
+    view?.chunkInterval?.learn(pauseMs, now)
+    view?.poolChunkInterval?.learn(pauseMs, now)
   }
 
   /** Estimate of the time to a first token at a pool's endpoints; undefined while the pool has no endpoint. */
-  pace (pool: PoolName): Pace | undefined {
+  pace (pool: PoolName): FirstTokenModel | undefined {
     const learntPace = this.#paces.get(pool)
     if (learntPace) return learntPace
     const view = this.all.find((each) => each.pool === pool)
-    return view && paceOf(view)
+    return view && firstTokenModelOf(view)
   }
 
   /** Records that an endpoint sent data of any kind. */
@@ -300,7 +300,7 @@
 
   /** Typical gap between stream pieces in an endpoint's pool, in milliseconds; undefined when none came recently. */
   usualPauseMs (id: EndpointId): number | undefined {
-    return this.#views.get(id)?.poolRhythm?.pauseMs(steadyNow())
+    return this.#views.get(id)?.poolChunkInterval?.intervalMs(steadyNow())
   }
 
   /** Stops sending work for a while to an endpoint that has requests but sends no data. */
@@ -343,15 +343,15 @@
     const writtenSince = this.#departures.of(hostId) === undefined
     if (!writtenSince && steadyNow() < goneAtMs + RESTORE_AFTER_MS) return
     this.#goneAt.delete(id)
-    this.#departures.returned(hostId, steadyNow())
+    this.#departures.recordReturn(hostId, steadyNow())
     this.#views.get(id)!.leavingAtMs = undefined
     log('endpoint-taken-back', { endpoint: id })
   }
 
   #pruneRecords (): void {
     const now = steadyNow()
-    this.#departures.forget(now, (host) => this.#byHost.has(host))
-    this.#starts.forget(now)
+    this.#departures.prune(now, (host) => this.#byHost.has(host))
+    this.#starts.prune(now)
   }
 
   #add (host: ListedHost): void {
@@ -368,8 +368,8 @@
       reclaimable: host.reclaimable,
       speed: endpoint.speed,
       firstMs: endpoint.firstMs ?? 0,
-      ...(endpoint.learnsPace === true && { pace: this.#paceOf(endpoint), rhythm: new StreamRhythm(), poolRhythm: this.#rhythmOf(endpoint.pool) }),
-      slowness: 1,
+      ...(endpoint.learnsPace === true && { firstTokenModel: this.#paceOf(endpoint), chunkInterval: new ChunkIntervalEstimator(), poolChunkInterval: this.#rhythmOf(endpoint.pool) }),
+      latencyFactor: 1,
       others: noWork(),
       own: noWork(),
       leavingAtMs: undefined,
@@ -383,17 +383,17 @@
     if (departure) this.#markLeaving(endpoint.id, departure)
   }
 
-  #paceOf ({ pool, firstMs = 0, speed }: ListedHost['endpoint']): ReadingPace {
+  #paceOf ({ pool, firstMs = 0, speed }: ListedHost['endpoint']): FirstTokenEstimator {
     let pace = this.#paces.get(pool)
     if (!pace) {
-      pace = new ReadingPace({ first: { firstMs, msPerToken: MS_PER_S / speed.prefillTokensPerS } })
+      pace = new FirstTokenEstimator({ prior: { firstMs, msPerToken: MS_PER_S / speed.prefillTokensPerS } })
       this.#paces.set(pool, pace)
     }
     return pace
   }
 
-  #rhythmOf (pool: PoolName): StreamRhythm {
-    const rhythm = this.#rhythms.get(pool) ?? new StreamRhythm({ smoothing: POOL_SMOOTHING })
+  #rhythmOf (pool: PoolName): ChunkIntervalEstimator {
+    const rhythm = this.#rhythms.get(pool) ?? new ChunkIntervalEstimator({ smoothing: POOL_SMOOTHING })
     this.#rhythms.set(pool, rhythm)
     return rhythm
   }
--- a/daemon/endpoints/endpoint_table_test.ts
+++ b/daemon/endpoints/endpoint_table_test.ts
@@ -33,7 +33,7 @@
   expect(idsOf(table)).toEqual(['i-2'])
   table.listed([start(2000), other])
   expect(idsOf(table)).toEqual([SECOND, 'i-2'])
-  expect(table.get(SECOND)).toMatchObject({ own: { running: 0 }, slowness: 1, leavingAtMs: undefined, ejectedUntilMs: 0 })
+  expect(table.get(SECOND)).toMatchObject({ own: { running: 0 }, latencyFactor: 1, leavingAtMs: undefined, ejectedUntilMs: 0 })
 })
 
 test('a leaving signal for the previous process does not affect the next one', () => {
--- a/daemon/endpoints/reclaimer.ts
+++ b/daemon/endpoints/reclaimer.ts
@@ -2,7 +2,7 @@
 import type { EndpointId } from '../../core/ids/index.ts'
 import {
   JointPlanner, NOTICE_MARGIN_MS, reclaimWeights, shareImports,
-  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type ThreatenedStream
+  type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type AffectedStream
 } from '../../core/reclaim/index.ts'
 import type { Config } from '../../core/config/index.ts'
 import { runningNow, type EndpointView, type PrefixIndex } from '../../core/routing/index.ts'
@@ -120,7 +120,7 @@
     const targets = shareImports(usable.map(targetOf), { sharers: this.#options.sharers(), random: this.#options.random })
     const sources = new Map<EndpointId, Source>()
     for (const task of tasks) sources.set(task.runningAt!, this.#sourceOf(task.runningAt!, now))
-    const streams = tasks.map((task): ThreatenedStream => ({
+    const streams = tasks.map((task): AffectedStream => ({
       id: task.id,
       source: task.runningAt!,
       kvTokens: task.kvTokens,
@@ -142,7 +142,7 @@
       noticeMs: this.#options.table.goneAtMs(id)! - now,
       exportTokensPerS: speed.exportTokensPerS,
       share,
-      luck: this.#options.random(),
+      roundingDraw: this.#options.random(),
       betweenTokensMs: speed.betweenTokensMs + speed.betweenTokensPerStreamMs * runningNow(view)
     }
   }
--- a/daemon/peers/load_task.ts
+++ b/daemon/peers/load_task.ts
@@ -1,7 +1,7 @@
 /** Reports this daemon's load at each endpoint to the keeper, and receives the aggregated load of the other daemons from it. */
 import type { DaemonId } from '../../core/ids/index.ts'
 import { VOTE_MS } from '../../core/quota/index.ts'
-import { LoadBoard, reportIntervalMs, type EndpointWork } from '../../core/routing/index.ts'
+import { LoadAggregator, reportIntervalMs, type EndpointWork } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 import type { AccountLimits } from '../limits/account_limits.ts'
@@ -26,7 +26,7 @@
 /** Exchanges load reports between daemons. */
 export class LoadTask {
   readonly #options: LoadTaskOptions
-  readonly #board = new LoadBoard()
+  readonly #board = new LoadAggregator()
   #reportTimers: NodeJS.Timeout[] = []
   #lastReportAtMs = -Infinity
   #lastReportHadWork = false
@@ -37,7 +37,7 @@
     const { links } = options.membership
     links.onPost(REPORT_TOPIC, (loads: EndpointWork[], from) => {
       this.#board.report(from, loads, steadyNow())
-      links.post(from, OTHERS_TOPIC, this.#board.othersOf(from, steadyNow()))
+      links.post(from, OTHERS_TOPIC, this.#board.loadsOfOthers(from, steadyNow()))
     })
     links.onPost(OTHERS_TOPIC, (loads: EndpointWork[]) => this.#applyOthersWork(loads))
   }
@@ -68,7 +68,7 @@
     const keeper = limits.keeper
     if (keeper === undefined) {
       this.#board.report(self, work, now)
-      return this.#applyOthersWork(this.#board.othersOf(self, now))
+      return this.#applyOthersWork(this.#board.loadsOfOthers(self, now))
     }
     if (now - this.#othersReceivedAtMs > OTHERS_WORK_TTL_MS) table.othersWork([])
     if (work.length === 0 && !this.#lastReportHadWork && now - this.#lastReportAtMs < IDLE_REPORT_INTERVAL_MS) return
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -1,5 +1,5 @@
 /** Follows the store through other daemons: requests changes from a few of them and serves changes to others, which saves watches on the store. */
-import { newsSources } from '../../core/relay/index.ts'
+import { changeSources } from '../../core/relay/index.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
@@ -85,7 +85,7 @@
   #sources (): Member[] {
     const now = steadyNow()
     const { self, working, hash } = this.#options
-    return newsSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
+    return changeSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
   }
 
   async #fetchChangesFrom (daemon: Member, prefix: string, after: number): Promise<ChangesResponse | undefined> {
--- a/daemon/peers/store_relay_test.ts
+++ b/daemon/peers/store_relay_test.ts
@@ -3,7 +3,7 @@
 import xxhash from 'xxhash-wasm'
 import { as, type DaemonId, type FailureDomain } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
-import { newsSources } from '../../core/relay/index.ts'
+import { changeSources } from '../../core/relay/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import { StandInNetwork, StandInStore } from '../../standins/index.ts'
 import { StoreError, StoreFollower, type ObjectSource } from '../../store/index.ts'
@@ -94,7 +94,7 @@
 
   /** The daemons that a node asks, derived from the membership alone. */
   sourcesOf (node: Node): Member[] {
-    return newsSources(node.member, this.nodes.map(({ member }) => member), { hash })
+    return changeSources(node.member, this.nodes.map(({ member }) => member), { hash })
   }
 
   /** Daemons that watch the store themselves. */
--- a/daemon/quarantine/crash_watch_test.ts
+++ b/daemon/quarantine/crash_watch_test.ts
@@ -13,7 +13,7 @@
 
 function viewOf (change: Partial<EndpointView> = {}): EndpointView {
   const speed = { batchSlots: 8, prefillTokensPerS: 1, betweenTokensMs: 1, betweenTokensPerStreamMs: 0, exportTokensPerS: 0, importTokensPerS: 0 }
-  return { id: FIRST, hostId: as('h'), pool: as('p'), failureDomain: as('d'), address: '', pricePerHour: 0, reclaimable: false, speed, firstMs: 0, slowness: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0, ...change }
+  return { id: FIRST, hostId: as('h'), pool: as('p'), failureDomain: as('d'), address: '', pricePerHour: 0, reclaimable: false, speed, firstMs: 0, latencyFactor: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0, ...change }
 }
 
 function start (answer: DialResult) {
--- a/daemon/request/placing_dispatcher.ts
+++ b/daemon/request/placing_dispatcher.ts
@@ -29,6 +29,6 @@
     prefixes: new PrefixIndex({ expiresMs: PREFIX_EXPIRES_MS }),
     home: (parts, candidates) => homeEndpoint(parts, candidates, hash),
     ...(canaries && { canaries }),
-    router: new TargetRouter({ random, sharers, wayMs: (view) => (view.failureDomain === failureDomain ? 0 : CROSS_DOMAIN_RTT_MS) })
+    router: new TargetRouter({ random, sharers, roundTripMs: (view) => (view.failureDomain === failureDomain ? 0 : CROSS_DOMAIN_RTT_MS) })
   })
 }
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -303,7 +303,7 @@
    */
   #reportFirstAnswer (endpoint: EndpointId, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
     const view = this.ports.table.get(endpoint)
-    if (view) this.ports.answers?.answered(view, this.work.cls.name, { tookMs, predictedMs: predictedMs / view.slowness })
+    if (view) this.ports.answers?.answered(view, this.work.cls.name, { tookMs, predictedMs: predictedMs / view.latencyFactor })
   }
 
   #markBegun (): void {
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -15,7 +15,7 @@
 const E1 = as<EndpointId>('e1')
 const HELD_MS = 5000
 const speed = { batchSlots: 8, prefillTokensPerS: 1, betweenTokensMs: 1, betweenTokensPerStreamMs: 0, exportTokensPerS: 0, importTokensPerS: 0 }
-const VIEW: EndpointView = { id: E1, hostId: as('h'), pool: as('models'), failureDomain: as('d'), address: '', pricePerHour: 0, reclaimable: false, speed, firstMs: 0, slowness: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
+const VIEW: EndpointView = { id: E1, hostId: as('h'), pool: as('models'), failureDomain: as('d'), address: '', pricePerHour: 0, reclaimable: false, speed, firstMs: 0, latencyFactor: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
 const ROUTE: Route = { view: VIEW, firstTokenMs: 10, meetsTarget: true, uncachedTokens: 0, unreadTokens: 0, lane: 'normal' }
 
 beforeEach(() => { vi.useFakeTimers() })
--- a/endpoints/exchange/exchange_test.ts
+++ b/endpoints/exchange/exchange_test.ts
@@ -40,7 +40,7 @@
 
 function viewOf (address: string): EndpointView {
   const speed = { batchSlots: 8, prefillTokensPerS: 1, betweenTokensMs: 1, betweenTokensPerStreamMs: 0, exportTokensPerS: 0, importTokensPerS: 0 }
-  return { id: as('e'), hostId: as('h'), pool: as('p'), failureDomain: as('d'), address, pricePerHour: 0, reclaimable: false, speed, firstMs: 0, slowness: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
+  return { id: as('e'), hostId: as('h'), pool: as('p'), failureDomain: as('d'), address, pricePerHour: 0, reclaimable: false, speed, firstMs: 0, latencyFactor: 1, others: noWork(), own: noWork(), leavingAtMs: undefined, ejectedUntilMs: 0 }
 }
 
 function requestOf (id: string, change: Partial<AdmittedRequest> = {}): AdmittedRequest {
