--- a/bench/_rollout_simulation.ts
+++ b/bench/_rollout_simulation.ts
@@ -2,7 +2,7 @@
 import { Heap } from 'mnemonist'
 import { as, type ClassName, type DaemonId, type EndpointId, type EndpointVersion, type PoolName } from '../core/ids/index.ts'
 import {
-  addAnswers, AnswerHistory, bucketOf, classAnswers, compareVersions, endpointsFor, GRANT_EVERY_MS, GRANT_MS, GrantLedger, GrantPurse, groupAnswers, isFinal, nextPortion, nextProgress, shareOut,
+  addAnswers, AnswerHistory, timeBucket, classAnswers, compareVersions, endpointCountFor, GRANT_INTERVAL_MS, GRANT_TTL_MS, GrantLedger, GrantAllowance, groupAnswers, isFinal, nextGrantBatch, nextProgress, distributeGrants,
   type AnswerBucket, type Answers, type ExposureLimit, type RolloutProgress
 } from '../core/rollout/index.ts'
 import type { Random } from '../core/routing/index.ts'
@@ -37,7 +37,7 @@
 interface Event { atMs: number, act (): void }
 /** Answers that a daemon has not reported yet. */
 type PendingAnswers = Array<{ cls: ClassName, group: number | undefined, bucket: AnswerBucket }>
-interface SimulatedDaemon { id: DaemonId, weight: number, allowance: GrantPurse, pendingAnswers: PendingAnswers, asked: Map<ClassName, number>, knownProgress: RolloutProgress, reportScheduled: boolean }
+interface SimulatedDaemon { id: DaemonId, weight: number, allowance: GrantAllowance, pendingAnswers: PendingAnswers, asked: Map<ClassName, number>, knownProgress: RolloutProgress, reportScheduled: boolean }
 
 const POOL = as<PoolName>('pool')
 const OLD = as<EndpointVersion>('v1')
@@ -95,7 +95,7 @@
     const durationMs = MIN_DURATION_MS + this.#random() * (MAX_DURATION_MS - MIN_DURATION_MS)
     this.#faultStartMs = options.badness === 'later' ? this.#random() * durationMs : 0
     this.#progress = { order: { pool: POOL, to: NEW, durationMs }, from: OLD, stage: 'preparing', orderedAtMs: 0, stageAtMs: 0, granted: 0, why: '' }
-    this.#daemons = Array.from({ length: options.daemons }, (_, i) => ({ id: as<DaemonId>(`d${i}`), weight: 0.3 + this.#random(), allowance: new GrantPurse(), pendingAnswers: [], asked: new Map(), knownProgress: this.#progress, reportScheduled: false }))
+    this.#daemons = Array.from({ length: options.daemons }, (_, i) => ({ id: as<DaemonId>(`d${i}`), weight: 0.3 + this.#random(), allowance: new GrantAllowance(), pendingAnswers: [], asked: new Map(), knownProgress: this.#progress, reportScheduled: false }))
   }
 
   run (): RolloutResult {
@@ -149,7 +149,7 @@
     this.#schedule(tookMs, () => {
       this.#running.set(endpoint, this.#running.get(endpoint)! - 1)
       if (!isNew) this.#runningAtOld--
-      daemon.pendingAnswers.push({ cls: cls.name, group: isNew ? Number(endpoint.slice(3)) % 8 : undefined, bucket: failed ? 'failed' : bucketOf(tookMs, cls.typicalMs) })
+      daemon.pendingAnswers.push({ cls: cls.name, group: isNew ? Number(endpoint.slice(3)) % 8 : undefined, bucket: failed ? 'failed' : timeBucket(tookMs, cls.typicalMs) })
       this.#scheduleReport(daemon)
     })
   }
@@ -187,11 +187,11 @@
       ? this.#decideFixedShare()
       : nextProgress(this.#progress, {
         nowMs: this.#now,
-        comparison: compareVersions(this.#answers, this.#history.note(structuredClone(this.#answers), this.#now)),
+        comparison: compareVersions(this.#answers, this.#history.record(structuredClone(this.#answers), this.#now)),
         newSlots: ENDPOINTS * 12,
         running: sum(this.#running.values()),
         runningAtOld: this.#emptySinceMs !== undefined && this.#now - this.#emptySinceMs > 700 ? 0 : Math.max(1, this.#runningAtOld),
-        newsMs: propagationBoundMs(this.#options.daemons)
+        propagationMs: propagationBoundMs(this.#options.daemons)
       })
     if (next) return this.#publishProgress(next)
     if (this.#progress.stage === 'canary') this.#issueGrants()
@@ -204,25 +204,25 @@
   }
 
   #issueGrants (): void {
-    if (this.#now - this.#grantedAtMs < GRANT_EVERY_MS) return
+    if (this.#now - this.#grantedAtMs < GRANT_INTERVAL_MS) return
     const asked = [...this.#requestCounts.values()]
     const seconds = Math.max(1, this.#now / 1000)
     const portion = this.#options.baseline
       ? { requests: Math.floor(FIXED_SHARE * sum(asked.map(({ count }) => count)) / seconds), perEndpoint: 1 }
-      : nextPortion({ requests: sum(asked.map(({ count }) => count)), ageMs: this.#now, granted: this.#grantLedger.granted, endpoints: ENDPOINTS, answers: this.#answers }, this.#options.limit)
+      : nextGrantBatch({ requests: sum(asked.map(({ count }) => count)), ageMs: this.#now, granted: this.#grantLedger.granted, endpoints: ENDPOINTS, answers: this.#answers }, this.#options.limit)
     if (!portion) return
-    const grants = shareOut(asked.map(({ daemon, cls, count }) => ({ daemon, cls, perS: count / seconds })), { requests: portion.requests, forMs: GRANT_MS, random: this.#random })
+    const grants = distributeGrants(asked.map(({ daemon, cls, count }) => ({ daemon, cls, perS: count / seconds })), { requests: portion.requests, forMs: GRANT_TTL_MS, random: this.#random })
     const granted = sum([...grants.values()].flat().map(([, count]) => count))
     if (granted === 0) return
     this.#grantedAtMs = this.#now
-    const endpoints = this.#leastGranted(endpointsFor(granted, portion))
+    const endpoints = this.#leastGranted(endpointCountFor(granted, portion))
     for (const [id, requests] of grants) {
       const daemon = this.#daemons.find((each) => each.id === id)!
-      const number = this.#grantLedger.give(id, sum(requests.map(([, count]) => count)))
-      this.#schedule(ONE_WAY_DELAY_MS, () => daemon.allowance.take({ order: ORDER, number, requests, endpoints, forMs: GRANT_MS }, this.#now))
-      this.#schedule(ONE_WAY_DELAY_MS + GRANT_MS, () => {
+      const number = this.#grantLedger.issue(id, sum(requests.map(([, count]) => count)))
+      this.#schedule(ONE_WAY_DELAY_MS, () => daemon.allowance.start({ order: ORDER, number, requests, endpoints, forMs: GRANT_TTL_MS }, this.#now))
+      this.#schedule(ONE_WAY_DELAY_MS + GRANT_TTL_MS, () => {
         const { used } = daemon.allowance.end()!
-        this.#schedule(ONE_WAY_DELAY_MS, () => this.#grantLedger.returned(id, number, used))
+        this.#schedule(ONE_WAY_DELAY_MS, () => this.#grantLedger.settle(id, number, used))
       })
     }
   }
--- a/core/quarantine/quarantine.ts
+++ b/core/quarantine/quarantine.ts
@@ -35,7 +35,7 @@
   get held (): ReadonlyMap<Fingerprint, HeldRequest> { return this.#held }
 
   /** Returns all known crashes, to initialise another daemon. */
-  all (): CrashReport[] {
+  snapshot (): CrashReport[] {
     return this.#records.snapshot()
   }
 
@@ -70,7 +70,7 @@
   }
 
   /** Removes expired suspects and quarantined requests. */
-  forget (now: number): void {
+  prune (now: number): void {
     this.#records.prune((request, crashedAtMs) => now < (this.#held.get(request)?.untilMs ?? crashedAtMs + SUSPECT_TTL_MS))
     this.#updateHeld()
   }
--- a/core/quarantine/quarantine_test.ts
+++ b/core/quarantine/quarantine_test.ts
@@ -30,12 +30,12 @@
 test('a quarantine ends an hour after the last crash, and requests that merely ran alongside expire earlier', () => {
   const quarantine = new Quarantine()
   for (const [i, endpoint] of ['e1', 'e2', 'e3'].entries()) quarantine.crashed(crash(endpoint, POISON_REQUEST, ...(i === 0 ? [OTHER] : [])), i)
-  quarantine.forget(600_000)
-  expect(quarantine.all().flatMap(({ aboard }) => aboard)).toEqual([POISON_REQUEST, POISON_REQUEST, POISON_REQUEST])
-  quarantine.forget(3_600_001)
+  quarantine.prune(600_000)
+  expect(quarantine.snapshot().flatMap(({ aboard }) => aboard)).toEqual([POISON_REQUEST, POISON_REQUEST, POISON_REQUEST])
+  quarantine.prune(3_600_001)
   expect(quarantine.held.size).toBe(1)
-  quarantine.forget(3_600_002)
-  expect([quarantine.held.size, quarantine.all()]).toEqual([0, []])
+  quarantine.prune(3_600_002)
+  expect([quarantine.held.size, quarantine.snapshot()]).toEqual([0, []])
 })
 
 test('a request stays in quarantine regardless of how many crashes follow', () => {
@@ -43,5 +43,5 @@
   for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed(crash(endpoint, POISON_REQUEST), 0)
   for (let i = 0; i < 100; i++) quarantine.crashed(crash(`later-${i}`, ...Array.from({ length: 30 }, (_, nth) => as<Fingerprint>(`${i}-${nth}`))), 1)
   expect([...quarantine.held.keys()]).toEqual([POISON_REQUEST])
-  expect(quarantine.all().reduce((sum, { aboard }) => sum + aboard.length, 0)).toBeLessThanOrEqual(2003)
+  expect(quarantine.snapshot().reduce((sum, { aboard }) => sum + aboard.length, 0)).toBeLessThanOrEqual(2003)
 })
--- a/core/quota/keeper_choice.ts
+++ b/core/quota/keeper_choice.ts
@@ -2,12 +2,12 @@
 import type { DaemonId } from '../ids/index.ts'
 
 /** Time without a message from the keeper after which another is selected, in milliseconds. */
-export const KEEPER_SILENT_MS = 750
+export const KEEPER_TIMEOUT_MS = 750
 /** Time for which a daemon that refused a connection is skipped, in milliseconds: by then the others have detected its failure, or it is back. */
 const REFUSED_BACKOFF_MS = 4000
 
 /** Tracks which daemons are eligible. All daemons rank the members identically and therefore select the same keeper. */
-export class KeeperChoice {
+export class KeeperSelector {
   readonly #self: DaemonId
   readonly #heardAtMs = new Map<DaemonId, number>()
   readonly #refusedAtMs = new Map<DaemonId, number>()
@@ -42,6 +42,6 @@
 
   #isEligible (id: DaemonId, now: number): boolean {
     if (now - (this.#refusedAtMs.get(id) ?? -Infinity) < REFUSED_BACKOFF_MS) return false
-    return now - (this.#heardAtMs.get(id) ?? now) <= KEEPER_SILENT_MS
+    return now - (this.#heardAtMs.get(id) ?? now) <= KEEPER_TIMEOUT_MS
   }
 }
--- a/core/quota/keeper_choice_test.ts
+++ b/core/quota/keeper_choice_test.ts
@@ -1,12 +1,12 @@
 import { expect, test } from 'vitest'
 import { as, type DaemonId } from '../ids/index.ts'
-import { KeeperChoice } from './keeper_choice.ts'
+import { KeeperSelector } from './keeper_choice.ts'
 
 const [A, B, C, SELF] = ['a', 'b', 'c', 'self'].map((id) => as<DaemonId>(id)) as [DaemonId, DaemonId, DaemonId, DaemonId]
 const RANKED = [A, B, C, SELF]
 
 test('the highest-ranked daemon is selected while its messages arrive, and the next one once they stop', () => {
-  const choice = new KeeperChoice(SELF)
+  const choice = new KeeperSelector(SELF)
   expect(choice.choose(RANKED, 0)).toBe(A)
   choice.heard(A, 500)
   expect(choice.choose(RANKED, 1200)).toBe(A)
@@ -18,7 +18,7 @@
 
 test('daemons whose addresses refuse connections are skipped immediately, one after the other', () => {
   // Guards against callers that wait for several timeouts in a row after many daemons crashed at once.
-  const choice = new KeeperChoice(SELF)
+  const choice = new KeeperSelector(SELF)
   expect(choice.choose(RANKED, 0)).toBe(A)
   choice.refused(A, 5)
   expect(choice.choose(RANKED, 5)).toBe(B)
@@ -29,7 +29,7 @@
 })
 
 test('a daemon that refused is tried again after a while, and a daemon that reaches none selects itself', () => {
-  const choice = new KeeperChoice(SELF)
+  const choice = new KeeperSelector(SELF)
   for (const id of [A, B, C]) choice.refused(id, 0)
   expect(choice.choose(RANKED, 0)).toBe(SELF)
   expect(choice.choose(RANKED, 10_000)).toBe(A)
--- a/core/quota/large_requests_test.ts
+++ b/core/quota/large_requests_test.ts
@@ -46,8 +46,8 @@
   const requests = attempts.map(({ request }) => request)
   for (let attempt = attempts.shift(); attempt; attempt = attempts.shift()) {
     const { request, atMs } = attempt
-    for (let i = 0; i < daemons; i++) keeper.heard(as<DaemonId>(`d${i}`), atMs)
-    const grant = keeper.ask(ACCOUNT, request.cost, { now: atMs, all: DAEMONS })
+    for (let i = 0; i < daemons; i++) keeper.renewVote(as<DaemonId>(`d${i}`), atMs)
+    const grant = keeper.tryAcquire(ACCOUNT, request.cost, { now: atMs, all: DAEMONS })
     request.granted = grant.granted
     if (!grant.granted && attempt.firstTry && grant.retryAfterMs < request.kind.deadlineMs / 3) scheduleRetry(attempts, { request, atMs: atMs + grant.retryAfterMs, firstTry: false })
   }
--- a/core/quota/quota.ts
+++ b/core/quota/quota.ts
@@ -34,7 +34,7 @@
 }
 
 /** Returns the cost of a request, in the quota's unit. */
-export function costOf (quota: Quota, demand: Demand | undefined): number {
+export function requestCost (quota: Quota, demand: Demand | undefined): number {
   if (quota.unit === 'requests') return 1
   return demand ? demand.promptTokens + demand.maxTokens : quota.plainTokens
 }
--- a/core/quota/quota_keeper.ts
+++ b/core/quota/quota_keeper.ts
@@ -11,7 +11,7 @@
  * Decision on a request. `room` is the account's remaining quota, in requests or tokens. `unknown` is set if no daemon votes for the keeper,
  * which then has no share of the quota to decide on.
  */
-export type Grant = { granted: true } | { granted: false, retryAfterMs: number, room: number, unknown?: true }
+export type QuotaDecision = { granted: true } | { granted: false, retryAfterMs: number, room: number, unknown?: true }
 
 /**
  * Lifetime of a vote, in milliseconds.
@@ -19,10 +19,10 @@
  * Longer than three vote intervals, so a lost vote has no effect. A daemon that selects another keeper may still be counted by the previous
  * one for this long.
  */
-export const VOTE_KEPT_MS = 1000
+export const VOTE_TTL_MS = 1000
 
 /** Interval between a daemon's votes, in milliseconds; three intervals fit into a vote's lifetime. */
-export const VOTE_MS = 300
+export const VOTE_INTERVAL_MS = 300
 
 /** A daemon's vote for a keeper. */
 export interface Vote {
@@ -70,7 +70,7 @@
   }
 
   /** Changes the tolerance of the current quotas. */
-  tolerate (tolerance: QuotaTolerance, now: number): void {
+  setTolerance (tolerance: QuotaTolerance, now: number): void {
     this.#tolerance = tolerance
     this.apply(new Map(this.#quotas), now)
   }
@@ -84,7 +84,7 @@
   }
 
   /** Extends the vote of a daemon from which a message arrived. */
-  heard (daemon: DaemonId, now: number): void {
+  renewVote (daemon: DaemonId, now: number): void {
     const known = this.#votes.get(daemon)
     if (known) known.atMs = now
   }
@@ -98,7 +98,7 @@
    * Grants or denies a request.
    * @param at.all Number of daemons that may be running, reachable or not.
    */
-  ask (account: AccountId, cost: number, at: { now: number, all: number }): Grant {
+  tryAcquire (account: AccountId, cost: number, at: { now: number, all: number }): QuotaDecision {
     const bucket = this.#buckets.get(account)
     if (!bucket) return { granted: true }
     const share = this.part(at.now, at.all)
@@ -110,7 +110,7 @@
   }
 
   /** Refunds the cost of a granted request that was not sent to any endpoint. */
-  giveBack (account: AccountId, cost: number): void {
+  refund (account: AccountId, cost: number): void {
     this.#buckets.get(account)?.consume(-cost)
   }
 
@@ -133,7 +133,7 @@
     const hosts = new Set<string>()
     let validVotes = 0
     for (const [daemon, { host, atMs, countsFromMs }] of this.#votes) {
-      if (now - atMs > VOTE_KEPT_MS) {
+      if (now - atMs > VOTE_TTL_MS) {
         this.#votes.delete(daemon)
         continue
       }
--- a/core/quota/quota_test.ts
+++ b/core/quota/quota_test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest'
 import type { Quota } from '../catalog/index.ts'
 import { as, type AccountId, type DaemonId } from '../ids/index.ts'
-import { bucketLimits, costOf, QuotaKeeper, SharedBucket, VOTE_KEPT_MS, type AccountLevel, type QuotaTolerance, type Vote } from './index.ts'
+import { bucketLimits, requestCost, QuotaKeeper, SharedBucket, VOTE_TTL_MS, type AccountLevel, type QuotaTolerance, type Vote } from './index.ts'
 
 const ACCOUNT = as<AccountId>('council')
 const QUOTA: Quota = { unit: 'tokens', perS: 100_000, burst: 100_000, plainTokens: 200 }
@@ -13,7 +13,7 @@
 
 test('a request costs its tokens, a request without tokens what the quota states, and one under a quota in requests', () => {
   const demand = { promptTokens: 1460, maxTokens: 80, expectedTokens: 20, parts: [] }
-  expect([costOf(QUOTA, demand), costOf(QUOTA, undefined), costOf({ ...QUOTA, unit: 'requests' }, demand)]).toEqual([1540, 200, 1])
+  expect([requestCost(QUOTA, demand), requestCost(QUOTA, undefined), requestCost({ ...QUOTA, unit: 'requests' }, demand)]).toEqual([1540, 200, 1])
 })
 
 test('a single instance grants the burst immediately, then the refill', () => {
@@ -59,8 +59,8 @@
   keeper.vote(daemon(0), 0, VOTE)
   const { initial, capacity } = bucketLimits(QUOTA, TOLERANCE)
   expect(initial).toBeLessThan(capacity / 3)
-  expect(keeper.ask(ACCOUNT, initial + 1, { now: 0, all: 1 }).granted).toBe(false)
-  expect(keeper.ask(ACCOUNT, initial, { now: 0, all: 1 }).granted).toBe(true)
+  expect(keeper.tryAcquire(ACCOUNT, initial + 1, { now: 0, all: 1 }).granted).toBe(false)
+  expect(keeper.tryAcquire(ACCOUNT, initial, { now: 0, all: 1 }).granted).toBe(true)
 })
 
 test('a vote takes effect once the previous one has expired', () => {
@@ -100,7 +100,7 @@
   keeper.vote(daemon(0), 0, VOTE)
   keeper.withdraw(daemon(0), 10, 3)
   keeper.vote(daemon(0), 20, { ...VOTE, number: 2 })
-  keeper.heard(daemon(0), 30)
+  keeper.renewVote(daemon(0), 30)
   expect(keeper.part(40, 2)).toBe(0)
   keeper.vote(daemon(0), 50, { ...VOTE, number: 4 })
   expect(keeper.part(50, 2)).toBe(0.5)
@@ -110,8 +110,8 @@
   // Guards against a keeper on a frozen host that resumes and grants for daemons that selected another keeper long ago.
   const keeper = new QuotaKeeper({ tolerance: TOLERANCE })
   for (let i = 0; i < 9; i++) keeper.vote(daemon(i), 0, VOTE)
-  expect(keeper.part(VOTE_KEPT_MS, 9)).toBe(1)
-  expect(keeper.part(VOTE_KEPT_MS + 1, 9)).toBe(0)
+  expect(keeper.part(VOTE_TTL_MS, 9)).toBe(1)
+  expect(keeper.part(VOTE_TTL_MS + 1, 9)).toBe(0)
 })
 
 /** A fault or its end, at a step of the schedule. */
@@ -133,7 +133,7 @@
     keeper.apply(new Map([[ACCOUNT, QUOTA]]), now)
     return keeper
   }
-  const nodes: Node[] = Array.from({ length: options.nodes }, (_, i) => ({ id: daemon(i), votedAtMs: -VOTE_KEPT_MS, freeAtMs: 0, keeper: start(0), chosen: i, told: [], levels: [], keeperHeardAtMs: 0, downUntilMs: 0, pausedUntilMs: 0, group: 0 }))
+  const nodes: Node[] = Array.from({ length: options.nodes }, (_, i) => ({ id: daemon(i), votedAtMs: -VOTE_TTL_MS, freeAtMs: 0, keeper: start(0), chosen: i, told: [], levels: [], keeperHeardAtMs: 0, downUntilMs: 0, pausedUntilMs: 0, group: 0 }))
   const isUp = (node: Node, now: number) => node.downUntilMs <= now && node.pausedUntilMs <= now
   const canReach = (a: Node, b: Node, now: number) => a === b || (a.group === b.group && isUp(b, now))
   let costIndex = 0
@@ -159,7 +159,7 @@
     if (kind === 'pause') node.pausedUntilMs = now + forMs
     if (kind !== 'kill') return
     node.downUntilMs = now + forMs
-    Object.assign(node, { keeper: start(now + forMs), chosen: nodes.indexOf(node), told: [], levels: [], freeAtMs: now + forMs + VOTE_KEPT_MS })
+    Object.assign(node, { keeper: start(now + forMs), chosen: nodes.indexOf(node), told: [], levels: [], freeAtMs: now + forMs + VOTE_TTL_MS })
   }
 
   /** Selects a keeper as the daemons do: the first that responds; an unresponsive one is given up after a timeout, a better one is returned to. */
@@ -172,7 +172,7 @@
     if (move && first !== node.chosen) {
       const confirmed = canReach(node, current, now)
       if (confirmed) current.keeper.withdraw(node.id, now, ++number)
-      else node.freeAtMs = Math.max(node.freeAtMs, node.votedAtMs + VOTE_KEPT_MS)
+      else node.freeAtMs = Math.max(node.freeAtMs, node.votedAtMs + VOTE_TTL_MS)
       node.told = confirmed ? current.keeper.levels({ now, all: options.nodes }) : node.levels
       node.chosen = first
       node.keeperHeardAtMs = now
@@ -188,7 +188,7 @@
   function ask (node: Node, cost: number, now: number): void {
     const chosen = options.shared && canReach(node, nodes[node.chosen]!, now) ? nodes[node.chosen]! : node
     if (!options.shared) node.keeper.vote(node.id, now, { ...VOTE, number: ++number })
-    const { granted: yes } = chosen.keeper.ask(ACCOUNT, cost, { now, all: options.shared ? options.nodes : 1 })
+    const { granted: yes } = chosen.keeper.tryAcquire(ACCOUNT, cost, { now, all: options.shared ? options.nodes : 1 })
     if (yes) granted.push({ atMs: now, cost })
   }
 }
--- a/core/retry/ejection.ts
+++ b/core/retry/ejection.ts
@@ -5,18 +5,18 @@
 const MAX_EJECTION_MS = 30_000
 
 /** Consecutive failures of an endpoint, as observed by this daemon. */
-export interface FailureCount { inRow: number, untilMs: number }
+export interface FailureCount { consecutive: number, untilMs: number }
 
 /** The record of an endpoint without failures. */
-export const NO_FAILURES: FailureCount = { inRow: 0, untilMs: 0 }
+export const NO_FAILURES: FailureCount = { consecutive: 0, untilMs: 0 }
 
 /**
  * Records a failure. From the third consecutive failure on, the endpoint is ejected, for twice as long each time.
  * @returns The new record, with `untilMs` in milliseconds on the daemon's clock.
  */
-export function countFailure (count: FailureCount, now: number): FailureCount {
-  const inRow = count.inRow + 1
-  if (inRow < FAILURES_TO_EJECT) return { inRow, untilMs: count.untilMs }
+export function recordFailure (count: FailureCount, now: number): FailureCount {
+  const inRow = count.consecutive + 1
+  if (inRow < FAILURES_TO_EJECT) return { consecutive: inRow, untilMs: count.untilMs }
   const ejectionMs = Math.min(MAX_EJECTION_MS, BASE_EJECTION_MS * 2 ** (inRow - FAILURES_TO_EJECT))
-  return { inRow, untilMs: now + ejectionMs }
+  return { consecutive: inRow, untilMs: now + ejectionMs }
 }
--- a/core/retry/retry_budget.ts
+++ b/core/retry/retry_budget.ts
@@ -13,15 +13,15 @@
 }
 
 /** Grants or denies retries of requests on another endpoint. */
-export interface RepeatBudget {
+export interface RetryLimiter {
   /** Counts a first attempt. */
-  earn (): void
+  deposit (): void
   /**
    * Consumes one retry if the budget allows it.
    * @param endpointGone Whether the previous endpoint is leaving or lost.
    * @returns Whether the retry is granted.
    */
-  spend (endpointGone: boolean): boolean
+  tryWithdraw (endpointGone: boolean): boolean
 }
 
 const DEFAULT_FRACTION = 0.1
@@ -33,7 +33,7 @@
  * Guards against retry storms: after the loss of a failure domain, each failure would otherwise double the load on the remaining endpoints.
  * With the bucket empty, retries are limited to a tenth of first attempts by default, however many attempts fail.
  */
-export class RetryBudget implements RepeatBudget {
+export class RetryBudget implements RetryLimiter {
   readonly #options: RetryBudgetOptions
   #balance: number
 
@@ -43,12 +43,12 @@
   }
 
   /** Counts a first attempt. */
-  earn (): void {
+  deposit (): void {
     this.#balance = Math.min(this.#burst, this.#balance + resolve(this.#options.fraction ?? DEFAULT_FRACTION))
   }
 
   /** Consumes one retry if the budget allows it. */
-  spend (endpointGone = false): boolean {
+  tryWithdraw (endpointGone = false): boolean {
     if (endpointGone && !this.#options.includeGoneEndpoints) return true
     if (this.#balance < 1) return false
     this.#balance -= 1
--- a/core/retry/retry_test.ts
+++ b/core/retry/retry_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest'
-import { countFailure, NO_FAILURES, RetryBudget } from './index.ts'
+import { recordFailure, NO_FAILURES, RetryBudget } from './index.ts'
 
 test('retries are limited to a tenth of first attempts however many attempts fail', () => {
   // Guards against a retry storm that turns a brief fault into a long outage: every request is retried immediately, which doubles the load on the
@@ -7,8 +7,8 @@
   const budget = new RetryBudget()
   let retries = 0
   for (let i = 0; i < 10_000; i++) {
-    budget.earn()
-    if (budget.spend()) retries++
+    budget.deposit()
+    if (budget.tryWithdraw()) retries++
   }
   expect(retries).toBeLessThanOrEqual(10_000 * 0.1 + 10)
   expect(retries).toBeGreaterThanOrEqual(1000)
@@ -16,6 +16,6 @@
 
 test('an endpoint is ejected from the third consecutive failure on, for twice as long each time, up to 30 s', () => {
   let count = NO_FAILURES
-  const untils = Array.from({ length: 9 }, () => (count = countFailure(count, 0)).untilMs)
+  const untils = Array.from({ length: 9 }, () => (count = recordFailure(count, 0)).untilMs)
   expect(untils).toEqual([0, 0, 1000, 2000, 4000, 8000, 16_000, 30_000, 30_000])
 })
--- a/core/retry/window_budget.ts
+++ b/core/retry/window_budget.ts
@@ -1,6 +1,6 @@
 /** Limits retries to a fraction of first attempts in a sliding window, counted exactly. */
 import { steadyNow } from '../time/index.ts'
-import type { RepeatBudget } from './retry_budget.ts'
+import type { RetryLimiter } from './retry_budget.ts'
 
 /** Options of {@linkcode WindowBudget}. Functions are evaluated on every use. */
 export interface WindowBudgetOptions {
@@ -9,9 +9,9 @@
   /** Retries allowed per first attempt in the window. */
   fraction (): number
   /** Additional retries allowed per window, independent of traffic. */
-  beside (): number
+  extraRetries (): number
   /** Fraction of the additional retries allowed in the first window, since a restarted process may have used the rest before. Default: 1. */
-  besideAtStart?: number
+  initialExtraFraction?: number
 }
 
 /** Number of slots that a window is divided into. */
@@ -25,7 +25,7 @@
  * Suited to bursts of retries: when an endpoint with forty streams crashes, all of them can be resumed elsewhere at once. A token bucket that
  * holds less than a window's worth would deny most of them, although hardly any retries were sent in the seconds before.
  */
-export class WindowBudget implements RepeatBudget {
+export class WindowBudget implements RetryLimiter {
   readonly #options: WindowBudgetOptions
   readonly #startedAtMs = steadyNow()
   #slots: Slot[] = []
@@ -34,11 +34,11 @@
     this.#options = options
   }
 
-  earn (): void {
+  deposit (): void {
     this.#currentSlot().firstAttempts++
   }
 
-  spend (): boolean {
+  tryWithdraw (): boolean {
     const slot = this.#currentSlot()
     const firstAttempts = this.#slots.reduce((sum, each) => sum + each.firstAttempts, 0)
     const repeats = this.#slots.reduce((sum, each) => sum + each.repeats, 0)
@@ -48,7 +48,7 @@
   }
 
   #extraRetries (): number {
-    const { windowMs, beside, besideAtStart = 1 } = this.#options
+    const { windowMs, extraRetries: beside, initialExtraFraction: besideAtStart = 1 } = this.#options
     return beside() * (steadyNow() - this.#startedAtMs < windowMs ? besideAtStart : 1)
   }
 
--- a/core/retry/window_budget_test.ts
+++ b/core/retry/window_budget_test.ts
@@ -3,7 +3,7 @@
 import { WindowBudget } from './index.ts'
 
 const WINDOW_MS = 10_000
-const createBudget = (besideAtStart = 1) => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => 0.2, beside: () => 5, besideAtStart })
+const createBudget = (besideAtStart = 1) => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => 0.2, extraRetries: () => 5, initialExtraFraction: besideAtStart })
 
 beforeEach(() => { vi.useFakeTimers() })
 afterEach(() => { vi.useRealTimers() })
@@ -13,14 +13,14 @@
   // window's worth of them was never used.
   const budget = createBudget()
   for (let i = 0; i < 200; i++) {
-    budget.earn()
+    budget.deposit()
     vi.advanceTimersByTime(45)
   }
-  expect(Array.from({ length: 60 }, () => budget.spend()).filter(Boolean)).toHaveLength(45)
+  expect(Array.from({ length: 60 }, () => budget.tryWithdraw()).filter(Boolean)).toHaveLength(45)
 })
 
 test('a restarted budget grants fewer retries in its first window', () => {
-  const granted = () => Array.from({ length: 9 }, () => budget.spend()).filter(Boolean).length
+  const granted = () => Array.from({ length: 9 }, () => budget.tryWithdraw()).filter(Boolean).length
   const budget = createBudget(0.4)
   expect(granted()).toBe(2)
   vi.advanceTimersByTime(2 * WINDOW_MS)
@@ -35,8 +35,8 @@
     const granted: number[] = []
     for (const { gapMs, fresh: requests, tries } of steps) {
       vi.advanceTimersByTime(gapMs)
-      for (let i = 0; i < requests; i++) { budget.earn(); fresh.push(performance.now()) }
-      for (let i = 0; i < tries; i++) if (budget.spend()) granted.push(performance.now())
+      for (let i = 0; i < requests; i++) { budget.deposit(); fresh.push(performance.now()) }
+      for (let i = 0; i < tries; i++) if (budget.tryWithdraw()) granted.push(performance.now())
     }
     for (const from of granted) {
       const within = granted.filter((at) => at >= from && at < from + WINDOW_MS * 0.95).length
@@ -50,7 +50,7 @@
   // Guards against shares that add up to more than the total: no daemon knows how many retries the others send.
   const daemons = 9
   const [ratio, beside, usedPart, atStart] = [0.2, 58, 0.8, 0.25]
-  const share = () => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => ratio * usedPart, beside: () => beside * usedPart / daemons, besideAtStart: atStart })
+  const share = () => new WindowBudget({ windowMs: WINDOW_MS, fraction: () => ratio * usedPart, extraRetries: () => beside * usedPart / daemons, initialExtraFraction: atStart })
   const step = fc.record({ gapMs: fc.integer({ min: 0, max: 900 }), at: fc.integer({ min: 0, max: daemons - 1 }), fresh: fc.integer({ min: 0, max: 30 }), tries: fc.integer({ min: 0, max: 30 }), restarts: fc.boolean() })
   fc.assert(fc.property(fc.array(step, { minLength: 40, maxLength: 120 }), (steps) => {
     const budgets = Array.from({ length: daemons }, share)
@@ -64,8 +64,8 @@
         budgets[at] = share()
         restartedAtMs[at] = performance.now()
       }
-      for (let i = 0; i < requests; i++) { budgets[at]!.earn(); fresh.push(performance.now()) }
-      for (let i = 0; i < tries; i++) if (budgets[at]!.spend()) granted.push(performance.now())
+      for (let i = 0; i < requests; i++) { budgets[at]!.deposit(); fresh.push(performance.now()) }
+      for (let i = 0; i < tries; i++) if (budgets[at]!.tryWithdraw()) granted.push(performance.now())
     }
     for (const from of granted) {
       const within = granted.filter((atMs) => atMs >= from && atMs < from + WINDOW_MS * 0.95).length
--- a/core/rollout/answer_history.ts
+++ b/core/rollout/answer_history.ts
@@ -13,7 +13,7 @@
    *
    * Counted since the order, a version that was good for a while and is bad now would still look half good for as long again.
    */
-  note (answers: Answers, now: number): Answers[] {
+  record (answers: Answers, now: number): Answers[] {
     this.#snapshots = this.#snapshots.filter(({ atMs }) => atMs > now - Math.max(...WINDOWS_MS) - WINDOWS_MS[0]!)
     const windows = WINDOWS_MS.flatMap((ms) => {
       const before = this.#snapshots.findLast(({ atMs }) => atMs <= now - ms)
--- a/core/rollout/answers.ts
+++ b/core/rollout/answers.ts
@@ -6,7 +6,7 @@
 export type AnswerBucket = number | 'failed'
 
 /** Bucket that counts requests, regardless of their outcome. */
-export const ASKED = 'asked'
+export const REQUEST_COUNT = 'asked'
 
 /** Answers of a set of endpoints to one class. */
 export interface AnswerCounts {
@@ -33,7 +33,7 @@
   cls: ClassName
   /** Group of the endpoint; undefined for the old version, which is counted in total. */
   group: number | undefined
-  bucket: AnswerBucket | typeof ASKED
+  bucket: AnswerBucket | typeof REQUEST_COUNT
 }
 
 const LOG_STEP = Math.log(1.5)
@@ -53,34 +53,34 @@
  * starts with empty prefix caches.
  * @example `timeBucket(200, 100)` returns 1.
  */
-export function bucketOf (tookMs: number, predictedMs: number): number {
+export function timeBucket (tookMs: number, predictedMs: number): number {
   const steps = Math.floor(Math.log(Math.max(MIN_TIME_MS, tookMs) / Math.max(MIN_TIME_MS, predictedMs)) / LOG_STEP)
   return Math.min(MAX_BUCKET, Math.max(MIN_BUCKET, steps))
 }
 
 /** Returns the group of an endpoint. */
-export function groupOf (endpoint: EndpointId, hash: Hash32): number {
+export function endpointGroup (endpoint: EndpointId, hash: Hash32): number {
   return hash(endpoint) % GROUP_COUNT
 }
 
 /** Returns the common prefix of a pool's answer keys. */
-export function answersPrefix (pool: string): string {
+export function answerKeyPrefix (pool: string): string {
   return `${KEY_PREFIX}/${pool}/`
 }
 
 /** Encodes the key of a count. */
 export function answerKey (pool: string, { order, version, cls, group, bucket }: AnswerKey): string {
-  return answersPrefix(pool) + JSON.stringify([order, version ?? null, cls, group ?? null, bucket])
+  return answerKeyPrefix(pool) + JSON.stringify([order, version ?? null, cls, group ?? null, bucket])
 }
 
 /** Encodes the key that counts a class's requests since an order. */
-export function askedKey (pool: string, order: string, cls: ClassName): string {
-  return answersPrefix(pool) + JSON.stringify([order, null, cls, null, ASKED])
+export function requestCountKey (pool: string, order: string, cls: ClassName): string {
+  return answerKeyPrefix(pool) + JSON.stringify([order, null, cls, null, REQUEST_COUNT])
 }
 
 /** Decodes a key. */
-export function readAnswerKey (pool: string, key: string): AnswerKey {
-  const [order, version, cls, group, bucket] = JSON.parse(key.slice(answersPrefix(pool).length)) as [string, EndpointVersion | null, ClassName, number | null, AnswerKey['bucket']]
+export function parseAnswerKey (pool: string, key: string): AnswerKey {
+  const [order, version, cls, group, bucket] = JSON.parse(key.slice(answerKeyPrefix(pool).length)) as [string, EndpointVersion | null, ClassName, number | null, AnswerKey['bucket']]
   return { order, version: version ?? undefined, cls, group: group ?? undefined, bucket }
 }
 
--- a/core/rollout/comparison_test.ts
+++ b/core/rollout/comparison_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from 'vitest'
 import { seededRandom } from '../../daemon/seeded_random.ts'
 import { as, type ClassName } from '../ids/index.ts'
-import { addAnswers, AnswerHistory, bucketOf, classAnswers, compareVersions, groupAnswers, type Answers } from './index.ts'
+import { addAnswers, AnswerHistory, timeBucket, classAnswers, compareVersions, groupAnswers, type Answers } from './index.ts'
 
 interface RequestClass { name: string, failureRate: number }
 interface AddOptions { count: number, share: number, newFailureRate?: (kind: RequestClass, group: number) => number, newSlowRate?: number, random: () => number }
@@ -20,7 +20,7 @@
     const group = Math.floor(random() * GROUPS)
     const fails = random() < (isNew ? newFailureRate(kind, group) : kind.failureRate)
     const tookMs = PREDICTED_MS * Math.exp(random() - 0.5) * (isNew && random() < newSlowRate ? SLOW_FACTOR : 1)
-    addAnswers(isNew ? groupAnswers(counts, group) : counts.old, fails ? 'failed' : bucketOf(tookMs, PREDICTED_MS), 1)
+    addAnswers(isNew ? groupAnswers(counts, group) : counts.old, fails ? 'failed' : timeBucket(tookMs, PREDICTED_MS), 1)
   }
 }
 
@@ -80,7 +80,7 @@
     let verdict: string = ''
     for (let ms = 0; ms <= 4000; ms += STEP_MS) {
       addRandomAnswers(answers, LETTER, { count: 20, share: 1, newFailureRate: ms >= 3000 ? () => 0.4 : undefined, random })
-      verdict = compareVersions(answers, history.note(structuredClone(answers), NOW_MS + ms)).verdict
+      verdict = compareVersions(answers, history.record(structuredClone(answers), NOW_MS + ms)).verdict
       if (ms < 3000) expect(verdict).not.toBe('worse')
     }
     expect(compareVersions(answers).verdict).not.toBe('worse')
@@ -102,7 +102,7 @@
     const history = new AnswerHistory()
     for (let ms = 0; ms < 10_000; ms += 500) {
       for (const kind of [LETTER, CHECK, QUIET]) addRandomAnswers(answers, kind, { count: kind === LETTER ? 150 : 20, share: 0.1, random })
-      expect(compareVersions(answers, history.note(structuredClone(answers), ms)).verdict).not.toBe('worse')
+      expect(compareVersions(answers, history.record(structuredClone(answers), ms)).verdict).not.toBe('worse')
     }
   }
 })
--- a/core/rollout/exposure.ts
+++ b/core/rollout/exposure.ts
@@ -54,7 +54,7 @@
  * requests are granted than should be sent.
  * @returns Grants by daemon, in total at most `requests`.
  */
-export function shareOut (demand: readonly DaemonDemand[], { requests, forMs, random }: DistributeGrantsOptions): Map<DaemonId, ClassGrant[]> {
+export function distributeGrants (demand: readonly DaemonDemand[], { requests, forMs, random }: DistributeGrantsOptions): Map<DaemonId, ClassGrant[]> {
   const classes = [...new Set(demand.map(({ cls }) => cls))].map((cls) => {
     const daemons = demand.filter((each) => each.cls === cls && each.perS > 0)
     return { cls, daemons, expected: daemons.reduce((sum, { perS }) => sum + perS, 0) * forMs / MS_PER_S }
@@ -140,7 +140,7 @@
   }
 
   /** Records a grant and returns its number. */
-  give (daemon: DaemonId, requests: number): number {
+  issue (daemon: DaemonId, requests: number): number {
     const number = ++this.#lastNumber
     const grants = this.#outstanding.get(daemon) ?? new Map<number, number>()
     this.#outstanding.set(daemon, grants)
@@ -149,7 +149,7 @@
   }
 
   /** Records how many requests of an ended grant a daemon used; unknown and already settled grants are ignored. */
-  returned (daemon: DaemonId, number: number, used: number): void {
+  settle (daemon: DaemonId, number: number, used: number): void {
     const grants = this.#outstanding.get(daemon)
     const requests = grants?.get(number)
     if (requests === undefined) return
@@ -171,7 +171,7 @@
 }
 
 /** Tracks a daemon's use of its current grant; a new grant ends the previous one. */
-export class GrantPurse {
+export class GrantAllowance {
   #grant: (Grant & { untilMs: number }) | undefined
   readonly #remaining = new Map<ClassName, number>()
   #used = 0
@@ -180,7 +180,7 @@
    * Starts a grant.
    * @returns The use of the previous grant, if there was one.
    */
-  take (grant: Grant, now: number): { number: number, used: number } | undefined {
+  start (grant: Grant, now: number): { number: number, used: number } | undefined {
     const previous = this.end()
     this.#grant = { ...grant, untilMs: now + grant.forMs }
     for (const [cls, requests] of grant.requests) this.#remaining.set(cls, requests)
--- a/core/rollout/exposure_test.ts
+++ b/core/rollout/exposure_test.ts
@@ -2,18 +2,18 @@
 import { expect, test } from 'vitest'
 import { seededRandom } from '../../daemon/seeded_random.ts'
 import { as, type ClassName, type DaemonId, type EndpointId } from '../ids/index.ts'
-import { exposureAllowed, GrantLedger, GrantPurse, nextPortion, shareOut, type DaemonDemand } from './index.ts'
+import { exposureAllowed, GrantLedger, GrantAllowance, nextGrantBatch, distributeGrants, type DaemonDemand } from './index.ts'
 
 const daemon = (i: number) => as<DaemonId>(`d${i}`)
 const BUSY = as<ClassName>('busy')
 const QUIET = as<ClassName>('quiet')
 const FOR_MS = 1000
 const demand: DaemonDemand[] = Array.from({ length: 60 }, (_, i) => [{ daemon: daemon(i), cls: BUSY, perS: 6 }, { daemon: daemon(i), cls: QUIET, perS: 0.1 }]).flat()
-const totalRequests = (grants: ReturnType<typeof shareOut>) => [...grants.values()].flat().reduce((sum, [, count]) => sum + count, 0)
+const totalRequests = (grants: ReturnType<typeof distributeGrants>) => [...grants.values()].flat().reduce((sum, [, count]) => sum + count, 0)
 
 test('grants never exceed the requests available, and a low-traffic class receives its share', () => {
   fc.assert(fc.property(fc.integer({ min: 0, max: 500 }), fc.integer(), (requests, seed) => {
-    const grants = shareOut(demand, { requests, forMs: FOR_MS, random: seededRandom(seed) })
+    const grants = distributeGrants(demand, { requests, forMs: FOR_MS, random: seededRandom(seed) })
     expect(totalRequests(grants)).toBeLessThanOrEqual(requests)
     const quiet = [...grants.values()].flat().filter(([cls]) => cls === QUIET).reduce((sum, [, count]) => sum + count, 0)
     if (requests >= 10) expect(quiet).toBeGreaterThanOrEqual(Math.min(36, Math.floor(requests / 4)))
@@ -23,8 +23,8 @@
 test('the exposure limit only counts requests already received', () => {
   const limit = { share: 0.1, slack: 50 }
   expect(exposureAllowed(0, limit)).toBeLessThanOrEqual(limit.slack)
-  expect(nextPortion({ requests: 0, ageMs: 0, granted: 50, endpoints: 3, answers: new Map() }, limit)).toBeUndefined()
-  expect(nextPortion({ requests: 100, ageMs: 500, granted: 0, endpoints: 0, answers: new Map() }, limit)).toBeUndefined()
+  expect(nextGrantBatch({ requests: 0, ageMs: 0, granted: 50, endpoints: 3, answers: new Map() }, limit)).toBeUndefined()
+  expect(nextGrantBatch({ requests: 100, ageMs: 500, granted: 0, endpoints: 0, answers: new Map() }, limit)).toBeUndefined()
 })
 
 type Action = { type: 'give' | 'hear' | 'use' | 'return' | 'lose', daemon: number, count: number }
@@ -33,7 +33,7 @@
   const action: fc.Arbitrary<Action> = fc.record({ type: fc.constantFrom('give', 'hear', 'use', 'return', 'lose'), daemon: fc.integer({ min: 0, max: 2 }), count: fc.integer({ min: 1, max: 4 }) })
   fc.assert(fc.property(fc.array(action, { maxLength: 80 }), (actions) => {
     const ledger = new GrantLedger(0)
-    const holders = [0, 1, 2].map(() => new GrantPurse())
+    const holders = [0, 1, 2].map(() => new GrantAllowance())
     const inFlight: Array<Array<{ number: number, count: number }>> = [[], [], []]
     const usageReports: Array<Array<{ number: number, used: number }>> = [[], [], []]
     let sent = 0
@@ -41,10 +41,10 @@
     for (const { type, daemon: i, count } of actions) {
       now += 100
       const holder = holders[i]!
-      if (type === 'give') inFlight[i]!.push({ number: ledger.give(daemon(i), count), count })
+      if (type === 'give') inFlight[i]!.push({ number: ledger.issue(daemon(i), count), count })
       const received = type === 'hear' ? inFlight[i]!.shift() : undefined
       if (received) {
-        const previous = holder.take({ order: 'o', number: received.number, requests: [[BUSY, received.count]], endpoints: [as<EndpointId>('e')], forMs: FOR_MS }, now)
+        const previous = holder.start({ order: 'o', number: received.number, requests: [[BUSY, received.count]], endpoints: [as<EndpointId>('e')], forMs: FOR_MS }, now)
         if (previous) usageReports[i]!.push(previous)
       }
       if (type === 'use' && holder.endpointsFor('o', BUSY, now).length > 0) {
@@ -52,7 +52,7 @@
         sent++
       }
       const returned = type === 'return' ? usageReports[i]!.shift() : undefined
-      if (returned) for (let times = 0; times < 2; times++) ledger.returned(daemon(i), returned.number, returned.used)
+      if (returned) for (let times = 0; times < 2; times++) ledger.settle(daemon(i), returned.number, returned.used)
       if (type === 'lose') usageReports[i]!.shift()
       expect(sent).toBeLessThanOrEqual(ledger.granted)
     }
@@ -60,8 +60,8 @@
 })
 
 test('a grant is limited to its lifetime, its order and its classes', () => {
-  const holder = new GrantPurse()
-  holder.take({ order: 'o', number: 1, requests: [[BUSY, 1]], endpoints: [as<EndpointId>('e')], forMs: FOR_MS }, 0)
+  const holder = new GrantAllowance()
+  holder.start({ order: 'o', number: 1, requests: [[BUSY, 1]], endpoints: [as<EndpointId>('e')], forMs: FOR_MS }, 0)
   expect(holder.endpointsFor('o', BUSY, FOR_MS - 1)).toHaveLength(1)
   expect(holder.endpointsFor('o', BUSY, FOR_MS)).toHaveLength(0)
   expect(holder.endpointsFor('another', BUSY, 0)).toHaveLength(0)
--- a/core/rollout/portion.ts
+++ b/core/rollout/portion.ts
@@ -19,9 +19,9 @@
 export interface GrantBatch { requests: number, perEndpoint: number }
 
 /** Lifetime of a grant, in milliseconds. */
-export const GRANT_MS = 1000
+export const GRANT_TTL_MS = 1000
 /** Interval between grants, in milliseconds: long enough for daemons to report the unused part of the previous one. */
-export const GRANT_EVERY_MS = 1200
+export const GRANT_INTERVAL_MS = 1200
 /** Answers of the new version to each class after which batches put the pool's full load on its endpoints. */
 const MIN_FIRST_ANSWERS = 10
 /** Minimum number of endpoints that share a batch: with one, a faulty endpoint could not be told from a faulty version. */
@@ -34,15 +34,15 @@
  * old version's endpoints are loaded: spread thinly over all endpoints, a version that fails only under load would take over all traffic
  * before the fault showed.
  */
-export function nextPortion ({ requests, ageMs, granted, endpoints, answers }: CanaryState, limit: ExposureLimit): GrantBatch | undefined {
+export function nextGrantBatch ({ requests, ageMs, granted, endpoints, answers }: CanaryState, limit: ExposureLimit): GrantBatch | undefined {
   if (endpoints === 0) return undefined
   const remaining = exposureAllowed(requests, limit) - granted
-  const perEndpoint = Math.max(1, Math.round(requests / Math.max(GRANT_MS, ageMs) * GRANT_MS / endpoints))
+  const perEndpoint = Math.max(1, Math.round(requests / Math.max(GRANT_TTL_MS, ageMs) * GRANT_TTL_MS / endpoints))
   return remaining >= (hasFirstAnswers(answers) ? perEndpoint : 1) ? { requests: remaining, perEndpoint } : undefined
 }
 
 /** Returns the number of endpoints for the requests of a batch that could be granted to daemons. */
-export function endpointsFor (granted: number, { perEndpoint }: GrantBatch): number {
+export function endpointCountFor (granted: number, { perEndpoint }: GrantBatch): number {
   return Math.max(MIN_ENDPOINTS, Math.round(granted / perEndpoint))
 }
 
--- a/core/rollout/rollout.ts
+++ b/core/rollout/rollout.ts
@@ -52,7 +52,7 @@
 }
 
 /** Returns the progress of the current order, or undefined until a decider has started it. */
-export function progressOf ({ order, progress }: RolloutRecord): RolloutProgress | undefined {
+export function currentProgress ({ order, progress }: RolloutRecord): RolloutProgress | undefined {
   return progress && isSameOrder(progress.order, order) ? progress : undefined
 }
 
--- a/core/rollout/rollout_machine.ts
+++ b/core/rollout/rollout_machine.ts
@@ -14,7 +14,7 @@
   /** Requests of all daemons running on the old version's endpoints; undefined while unknown. */
   runningAtOld: number | undefined
   /** Time within which a change reaches every daemon, in milliseconds. */
-  newsMs: number
+  propagationMs: number
 }
 
 /**
@@ -74,18 +74,18 @@
 interface SwitchWindow { from: number, latest: number }
 
 /** Places the switch late, but early enough for it to reach every daemon before the deadline. */
-function switchWindowOf ({ order: { durationMs } }: RolloutProgress, { newsMs }: RolloutObservation): SwitchWindow {
+function switchWindowOf ({ order: { durationMs } }: RolloutProgress, { propagationMs: newsMs }: RolloutObservation): SwitchWindow {
   const fractionBefore = (ms: number) => Math.max(0, durationMs - newsMs - ms) / durationMs
   const latest = fractionBefore(DEADLINE_RESERVE_MS)
   return { from: Math.min(latest, Math.max(MIN_SWITCH_FRACTION, fractionBefore(2 * DEADLINE_RESERVE_MS))), latest }
 }
 
-function emptyingFrom ({ order: { durationMs } }: RolloutProgress, { newsMs }: RolloutObservation): number {
+function emptyingFrom ({ order: { durationMs } }: RolloutProgress, { propagationMs: newsMs }: RolloutObservation): number {
   return Math.max(0, durationMs - newsMs) / durationMs
 }
 
 /** On `completed` the old endpoints are stopped without draining, so they must be idle and every daemon must know of the switch. */
-function canComplete ({ switchedAtMs = Infinity }: RolloutProgress, { nowMs, newsMs, runningAtOld }: RolloutObservation, elapsed: number): boolean {
+function canComplete ({ switchedAtMs = Infinity }: RolloutProgress, { nowMs, propagationMs: newsMs, runningAtOld }: RolloutObservation, elapsed: number): boolean {
   return elapsed >= MIN_COMPLETION_FRACTION && nowMs - switchedAtMs >= Math.max(newsMs, MIN_FULL_LOAD_MS) && runningAtOld === 0
 }
 
--- a/core/rollout/rollout_machine_test.ts
+++ b/core/rollout/rollout_machine_test.ts
@@ -9,7 +9,7 @@
 const order = { pool: as<PoolName>('desk'), to: NEW, durationMs: DURATION_MS }
 const initial: RolloutProgress = { order, from: OLD, stage: 'preparing', orderedAtMs: 0, stageAtMs: 0, granted: 0, why: '' }
 const comparisonOf = (verdict: Comparison['verdict']): Comparison => ({ verdict, strongest: undefined })
-const healthy: RolloutObservation = { nowMs: 0, comparison: comparisonOf('alike'), newSlots: 100, running: 10, runningAtOld: 0, newsMs: 3000 }
+const healthy: RolloutObservation = { nowMs: 0, comparison: comparisonOf('alike'), newSlots: 100, running: 10, runningAtOld: 0, propagationMs: 3000 }
 const nextStage = (progress: RolloutProgress, observed: Partial<RolloutObservation>) => nextProgress(progress, { ...healthy, ...observed })?.stage
 
 /** Simulates a rollout over its time limit and returns the stages as they are entered. */
@@ -29,7 +29,7 @@
   const stages = simulate(() => ({}))
   expect(stages.map(({ stage }) => stage)).toEqual(['canary', 'switching', 'completed'])
   expect(stages[1]!.atMs).toBeGreaterThanOrEqual(DURATION_MS / 2)
-  expect(stages[2]!.atMs).toBeGreaterThanOrEqual(stages[1]!.atMs + healthy.newsMs)
+  expect(stages[2]!.atMs).toBeGreaterThanOrEqual(stages[1]!.atMs + healthy.propagationMs)
   expect(stages[2]!.atMs).toBeLessThan(DURATION_MS)
 })
 
@@ -80,7 +80,7 @@
     newSlots: fc.integer({ min: 0, max: 200 }),
     running: fc.integer({ min: 0, max: 200 }),
     runningAtOld: fc.option(fc.integer({ min: 0, max: 5 }), { nil: undefined }),
-    newsMs: fc.constantFrom(2000, 3000)
+    propagationMs: fc.constantFrom(2000, 3000)
   })
   fc.assert(fc.property(fc.array(observation, { maxLength: 40 }), (observations) => {
     let progress = initial
--- a/core/rollout/version_rule.ts
+++ b/core/rollout/version_rule.ts
@@ -1,6 +1,6 @@
 /** Decides which versions of a pool's endpoints receive requests. */
 import type { EndpointVersion } from '../ids/index.ts'
-import { isFinal, progressOf, type RolloutRecord } from './rollout.ts'
+import { isFinal, currentProgress, type RolloutRecord } from './rollout.ts'
 
 /** Versions of one pool, by the traffic they receive. */
 export interface VersionRule {
@@ -23,7 +23,7 @@
  */
 export function versionRule (record: RolloutRecord | undefined, { before, held }: { before: EndpointVersion, held: boolean }): VersionRule {
   if (!record) return { carries: before }
-  const progress = progressOf(record)
+  const progress = currentProgress(record)
   if (!progress) return { carries: versionAfterPreviousOrder(record) ?? before }
   const { from, order: { to } } = progress
   if (held && !isFinal(progress)) return { carries: from }
--- a/daemon/endpoints/endpoint_table.ts
+++ b/daemon/endpoints/endpoint_table.ts
@@ -5,7 +5,7 @@
   updateLatencyFactor, noWork, firstTokenModelOf, POOL_SMOOTHING, FirstTokenEstimator, ChunkIntervalEstimator, subset, unreadBefore,
   type EndpointLoad, type EndpointView, type EndpointWork, type FirstTokenSample, type Hash32, type Lane, type FirstTokenModel
 } from '../../core/routing/index.ts'
-import { countFailure, NO_FAILURES, type FailureCount } from '../../core/retry/index.ts'
+import { recordFailure, NO_FAILURES, type FailureCount } from '../../core/retry/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { ListedHost } from '../../endpoints/index.ts'
 import { log } from '../log/index.ts'
@@ -316,9 +316,9 @@
   failed (id: EndpointId): void {
     const view = this.#views.get(id)
     if (!view) return
-    const count = countFailure(this.#failures.get(id) ?? NO_FAILURES, steadyNow())
+    const count = recordFailure(this.#failures.get(id) ?? NO_FAILURES, steadyNow())
     this.#failures.set(id, count)
-    if (count.untilMs > view.ejectedUntilMs) log('endpoint-avoided', { endpoint: id, failures: count.inRow, forMs: Math.round(count.untilMs - steadyNow()) })
+    if (count.untilMs > view.ejectedUntilMs) log('endpoint-avoided', { endpoint: id, failures: count.consecutive, forMs: Math.round(count.untilMs - steadyNow()) })
     view.ejectedUntilMs = count.untilMs
   }
 
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -3,7 +3,7 @@
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix'
 import { allowedTokensPerS, RouteTable, Urgency, type Catalog } from '../../core/catalog/index.ts'
 import { as, type DaemonId, type EndpointId, type PoolName } from '../../core/ids/index.ts'
-import { WindowBudget, type RepeatBudget } from '../../core/retry/index.ts'
+import { WindowBudget, type RetryLimiter } from '../../core/retry/index.ts'
 import type { Hash64 } from '../../core/quarantine/index.ts'
 import type { EndpointView, Hash32, Random } from '../../core/routing/index.ts'
 import { dial, ExchangeClient } from '../../endpoints/index.ts'
@@ -70,7 +70,7 @@
   archive: QuarantineArchive
   loads: LoadTask
   dispatcher: Dispatcher
-  budgetOf: (pool: PoolName) => RepeatBudget
+  budgetOf: (pool: PoolName) => RetryLimiter
   intake: Intake
   stalls: StallWatch
   server: ExchangeServer
@@ -264,16 +264,16 @@
 }
 
 /** Gives each pool a retry budget that is this daemon's own share, so that a restart or a partition cannot raise the total by much. */
-function retryBudgets ({ settings, fleet }: ProxyComponents): (pool: PoolName) => RepeatBudget {
-  const budgets = new Map<PoolName, RepeatBudget>()
+function retryBudgets ({ settings, fleet }: ProxyComponents): (pool: PoolName) => RetryLimiter {
+  const budgets = new Map<PoolName, RetryLimiter>()
   return (pool) => {
     let budget = budgets.get(pool)
     if (!budget) {
       budget = new WindowBudget({
         windowMs: settings.repeats.windowMs,
         fraction: () => settings.repeats.ratio * RETRY_BUDGET_FRACTION,
-        beside: () => settings.repeats.beside * RETRY_BUDGET_FRACTION / fleet.all,
-        besideAtStart: INITIAL_RETRY_FRACTION
+        extraRetries: () => settings.repeats.beside * RETRY_BUDGET_FRACTION / fleet.all,
+        initialExtraFraction: INITIAL_RETRY_FRACTION
       })
       budgets.set(pool, budget)
     }
--- a/daemon/exchange/intake.ts
+++ b/daemon/exchange/intake.ts
@@ -2,7 +2,7 @@
 import type { Account, Pool, PoolShare, Route, RouteTable, Urgency } from '../../core/catalog/index.ts'
 import { as, type AccountId, type Fingerprint, type PoolName } from '../../core/ids/index.ts'
 import { fingerprintOf, type Hash64 } from '../../core/quarantine/index.ts'
-import type { RepeatBudget } from '../../core/retry/index.ts'
+import type { RetryLimiter } from '../../core/retry/index.ts'
 import type { Random } from '../../core/routing/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import { NO_TOKENS } from '../../core/work/index.ts'
@@ -42,7 +42,7 @@
   catalog (): CatalogIndex | undefined
   /** Resolves once the first configuration is known. */
   known: Promise<void>
-  budgetOf (pool: PoolName): RepeatBudget
+  budgetOf (pool: PoolName): RetryLimiter
   limits: AccountLimits
   usage: UsageTask
   orders: OrderTask
@@ -89,7 +89,7 @@
     const pool = pickShare(route.pools, this.#options.random).pool
     const { client, dialect, table, dispatcher, metrics, crashes, quarantine, answers } = this.#options
     const budget = this.#options.budgetOf(pool)
-    budget.earn()
+    budget.deposit()
     if (req.demand) this.#options.orders.asked(pool, req.demand.promptTokens)
     answers?.asked({ pool, cls })
     const task = new RequestTask<Buffer>({
--- a/daemon/limits/account_limits.ts
+++ b/daemon/limits/account_limits.ts
@@ -2,7 +2,7 @@
 import type { Account, Quota } from '../../core/catalog/index.ts'
 import type { AccountId, DaemonId } from '../../core/ids/index.ts'
 import type { Member } from '../../core/membership/index.ts'
-import { costOf, KEEPER_SILENT_MS, KeeperChoice, QuotaKeeper, VOTE_KEPT_MS, VOTE_MS, type AccountLevel, type Grant, type QuotaTolerance, type Vote } from '../../core/quota/index.ts'
+import { requestCost, KEEPER_TIMEOUT_MS, KeeperSelector, QuotaKeeper, VOTE_TTL_MS, VOTE_INTERVAL_MS, type AccountLevel, type QuotaDecision, type QuotaTolerance, type Vote } from '../../core/quota/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import type { Demand } from '../../core/work/index.ts'
 import { log } from '../log/index.ts'
@@ -40,7 +40,7 @@
  * Longest time that a request is held while no keeper may grant, in milliseconds: the silence after which the next keeper is chosen, the votes that
  * are due then, and the remaining time in which the last vote for the previous keeper counts.
  */
-const MAX_HOLD_MS = KEEPER_SILENT_MS + 2 * VOTE_MS + ASK_TIMEOUT_MS
+const MAX_HOLD_MS = KEEPER_TIMEOUT_MS + 2 * VOTE_INTERVAL_MS + ASK_TIMEOUT_MS
 /** Delay between attempts to charge a request while no keeper may grant, in milliseconds. */
 const ASK_RETRY_MS = 50
 /** Number of votes per probe of the members that rank above the chosen keeper. A probe that is answered lets this daemon return to the highest-ranked one. */
@@ -66,7 +66,7 @@
   /** Counts for the daemons that chose this one, or only for this daemon. */
   readonly #localKeeper: QuotaKeeper
   readonly #quotas = new Map<AccountId, Quota>()
-  readonly #choice: KeeperChoice
+  readonly #choice: KeeperSelector
   /** The chosen keeper; undefined for this daemon itself. */
   #chosenId: DaemonId | undefined
   /** Bucket levels last reported by the chosen keeper. */
@@ -79,14 +79,14 @@
    * Time until which a vote for an earlier keeper may count, in milliseconds on the steady clock. That clock starts with the process, and a vote by the
    * previous process on this host may count for up to `VOTE_KEPT_MS`.
    */
-  #priorVoteEndsAtMs = VOTE_KEPT_MS
+  #priorVoteEndsAtMs = VOTE_TTL_MS
   /** Value of `#priorVoteEndsAtMs` before the last change of keeper. */
-  #priorVoteEndsBeforeChangeMs = VOTE_KEPT_MS
+  #priorVoteEndsBeforeChangeMs = VOTE_TTL_MS
   /** Number of the last vote or withdrawal. */
   #sequence = 0
   /** Number of the last withdrawal, until the keeper confirms it. */
   #pendingWithdrawal: number | undefined
-  #pendingAsks: Array<{ ask: QuotaRequest, decide: (grant: Grant, from: DaemonId | undefined) => void }> = []
+  #pendingAsks: Array<{ ask: QuotaRequest, decide: (grant: QuotaDecision, from: DaemonId | undefined) => void }> = []
   #interval: NodeJS.Timeout | undefined
   #voteTimer: NodeJS.Timeout | undefined
   #onVote: () => void = () => {}
@@ -94,17 +94,17 @@
   constructor (options: AccountLimitsOptions) {
     this.#options = options
     this.#localKeeper = new QuotaKeeper({ tolerance: options.tolerance })
-    this.#choice = new KeeperChoice(options.self)
+    this.#choice = new KeeperSelector(options.self)
     const { links } = options.membership
     links.onPost(VOTE, (vote: Vote, from) => this.#onVoted(from, vote))
     links.onPost(PROBE, (_nothing: null, from) => links.post(from, HEARD, { levels: [] } satisfies KeeperReply))
     links.onPost(HEARD, ({ levels }: KeeperReply, from) => this.#onHeard(from, levels))
     links.onPost(WITHDRAWN, (number: number, from) => this.#onWithdrawn(from, number))
     links.onPost(FREED, (freed: WithdrawalReply) => this.#onFreed(freed))
-    links.onPost(GIVEN_BACK, ([account, cost]: QuotaRequest) => this.#localKeeper.giveBack(account, cost))
+    links.onPost(GIVEN_BACK, ([account, cost]: QuotaRequest) => this.#localKeeper.refund(account, cost))
     options.membership.onLink(() => { if (this.#interval) this.#scheduleVote() })
     links.handle(ASK, async (asks: QuotaRequest[], { from }) => {
-      this.#localKeeper.heard(from, steadyNow())
+      this.#localKeeper.renewVote(from, steadyNow())
       return asks.map((ask) => this.#askLocal(ask))
     })
   }
@@ -134,7 +134,7 @@
 
   /** Changes the tolerance. A lower one applies at once. */
   tolerate (tolerance: QuotaTolerance): void {
-    this.#localKeeper.tolerate(tolerance, steadyNow())
+    this.#localKeeper.setTolerance(tolerance, steadyNow())
   }
 
   /** Starts voting. */
@@ -142,7 +142,7 @@
     this.#interval = setInterval(() => {
       this.#vote()
       this.#onVote()
-    }, VOTE_MS)
+    }, VOTE_INTERVAL_MS)
     this.#vote()
   }
 
@@ -163,7 +163,7 @@
   async charge (account: AccountId, demand: Demand | undefined): Promise<Charge | OverQuota> {
     const quota = this.#quotas.get(account)
     if (!quota) return NO_CHARGE
-    const cost = costOf(quota, demand)
+    const cost = requestCost(quota, demand)
     const untilMs = steadyNow() + MAX_HOLD_MS
     for (;;) {
       const { grant, from } = await this.#ask([account, cost])
@@ -174,7 +174,7 @@
   }
 
   /** Asks for a grant. Requests made in one turn of the event loop are sent in one call. */
-  #ask (ask: QuotaRequest): Promise<{ grant: Grant, from: DaemonId | undefined }> {
+  #ask (ask: QuotaRequest): Promise<{ grant: QuotaDecision, from: DaemonId | undefined }> {
     if (this.#chosenId === undefined) return Promise.resolve({ grant: this.#askLocal(ask), from: undefined })
     if (this.#pendingAsks.length === 0) setImmediate(() => this.#sendAsks())
     return new Promise((resolve) => this.#pendingAsks.push({ ask, decide: (grant, from) => resolve({ grant, from }) }))
@@ -189,9 +189,9 @@
   }
 
   /** Asks the keeper. If it doesn't answer in time, its grants are lost from the quota if it made any, and the caller decides by this daemon's own share. */
-  async #callKeeper (keeper: Member, asks: QuotaRequest[]): Promise<Grant[] | undefined> {
+  async #callKeeper (keeper: Member, asks: QuotaRequest[]): Promise<QuotaDecision[] | undefined> {
     try {
-      return await this.#options.membership.links.call(keeper, ASK, asks, { timeoutMs: ASK_TIMEOUT_MS }) as Grant[]
+      return await this.#options.membership.links.call(keeper, ASK, asks, { timeoutMs: ASK_TIMEOUT_MS }) as QuotaDecision[]
     } catch (err) {
       log('keeper-silent', { keeper: keeper.id, requests: asks.length, why: (err as Error).message })
       this.#connect(keeper)
@@ -199,12 +199,12 @@
     }
   }
 
-  #askLocal ([account, cost]: QuotaRequest): Grant {
-    return this.#localKeeper.ask(account, cost, this.#keeperInput())
+  #askLocal ([account, cost]: QuotaRequest): QuotaDecision {
+    return this.#localKeeper.tryAcquire(account, cost, this.#keeperInput())
   }
 
   #giveBack (ask: QuotaRequest, from: DaemonId | undefined): void {
-    if (from === undefined) this.#localKeeper.giveBack(...ask)
+    if (from === undefined) this.#localKeeper.refund(...ask)
     else this.#options.membership.links.post(from, GIVEN_BACK, ask)
   }
 
@@ -256,7 +256,7 @@
     this.#options.membership.links.post(keeper, WITHDRAWN, number)
     this.#pendingWithdrawal = number
     this.#priorVoteEndsBeforeChangeMs = this.#priorVoteEndsAtMs
-    this.#priorVoteEndsAtMs = Math.max(this.#priorVoteEndsAtMs, this.#votedAtMs + VOTE_KEPT_MS)
+    this.#priorVoteEndsAtMs = Math.max(this.#priorVoteEndsAtMs, this.#votedAtMs + VOTE_TTL_MS)
   }
 
   #onWithdrawn (from: DaemonId, number: number): void {
--- a/daemon/peers/load_task.ts
+++ b/daemon/peers/load_task.ts
@@ -1,6 +1,6 @@
 /** Reports this daemon's load at each endpoint to the keeper, and receives the aggregated load of the other daemons from it. */
 import type { DaemonId } from '../../core/ids/index.ts'
-import { VOTE_MS } from '../../core/quota/index.ts'
+import { VOTE_INTERVAL_MS } from '../../core/quota/index.ts'
 import { LoadAggregator, reportIntervalMs, type EndpointWork } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
@@ -58,7 +58,7 @@
     const everyMs = reportIntervalMs(this.#options.membership.reachable.length)
     this.#report()
     this.#reportTimers = []
-    for (let ms = everyMs; ms < VOTE_MS; ms += everyMs) this.#reportTimers.push(setTimeout(() => this.#report(), ms))
+    for (let ms = everyMs; ms < VOTE_INTERVAL_MS; ms += everyMs) this.#reportTimers.push(setTimeout(() => this.#report(), ms))
   }
 
   #report (): void {
--- a/daemon/quarantine/quarantine_task.ts
+++ b/daemon/quarantine/quarantine_task.ts
@@ -45,7 +45,7 @@
       this.#mergeFrom(messages.map(({ ageMs, ...crash }) => ({ ...crash, atMs: now - ageMs })), from)
     })
     // Reports sent on the previous link may be lost, and a daemon that has just started has none: send everything on each new link.
-    membership.onLink((to) => this.#post(to, this.#quarantine.all()))
+    membership.onLink((to) => this.#post(to, this.#quarantine.snapshot()))
   }
 
   /** Adds a listener that is called when requests enter or leave quarantine. */
@@ -59,7 +59,7 @@
   /** Starts the periodic removal of expired records. */
   start (): void {
     this.#timer = setInterval(() => {
-      this.#quarantine.forget(steadyNow())
+      this.#quarantine.prune(steadyNow())
       this.#publishHeld()
     }, EXPIRE_EVERY_MS)
   }
--- a/daemon/request/broker.ts
+++ b/daemon/request/broker.ts
@@ -132,7 +132,7 @@
     if (maxTokens > limits.answerTokens) throw new RefusedError(`Cannot accept request: maxTokens is over ${limits.answerTokens}`, { status: 400 })
     const id = requestId(this.#options.self, randomUUID())
     const task = this.#taskFor({ id, account: submission.account, cls, model, input: submission.input, maxTokens: model ? maxTokens : 1, claim: this.#claimFor(id, submission, cls) })
-    this.#budgetOf(cls.name).earn()
+    this.#budgetOf(cls.name).deposit()
     this.#register(task)
     task.post({ type: 'begin' })
     return task
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -111,7 +111,7 @@
     if (endpoint === undefined || !this.mayRetryElsewhere || !mayRepeat(this.lifecycle, 'timeout-after-send')) return
     const now = steadyNow()
     const elsewhere = table.candidates(this.work.pool).some((view) => view.id !== endpoint && view.ejectedUntilMs <= now)
-    if (!elsewhere || !budget.spend(table.isGone(endpoint))) return
+    if (!elsewhere || !budget.tryWithdraw(table.isGone(endpoint))) return
     this.attachment?.detach()
     this.ports.crashes.failed({ id: endpoint, view: table.get(endpoint) }, 'timeout-after-send', this.work.fingerprint)
     this.#recordFailure(endpoint, new AttemptError('Cannot wait: the attempt went silent', { point: 'timeout-after-send' }), { attempt, repeat: 'allowed' })
@@ -341,7 +341,7 @@
     if (err.point === 'endpoint-leaving' && view) table.leaving([view.hostId], steadyNow() + ASSUMED_NOTICE_MS, 'refusal')
     // Spends from the budget only if the request could use the retry.
     const repeatable = this.mayRetryElsewhere && mayRepeat(this.lifecycle, err.point)
-    const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.spend(table.isGone(endpoint)))
+    const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.tryWithdraw(table.isGone(endpoint)))
     this.ports.crashes.failed({ id: endpoint, view }, err.point, this.work.fingerprint)
     if (view && err.point === 'endpoint-error') this.ports.answers?.failed(view, this.work.cls.name)
     table.failed(endpoint)
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -41,7 +41,7 @@
     ports: {
       table,
       dispatcher: { place: (placement: Placement) => { placements.push(placement) }, remove: () => {}, pump: () => {} } as Partial<Dispatcher> as Dispatcher,
-      budget: { earn: () => {}, spend: () => true },
+      budget: { deposit: () => {}, tryWithdraw: () => true },
       metrics: createMetrics(),
       crashes: { gaveUp: () => {} } as Partial<CrashWatch> as CrashWatch,
       quarantine: { heldForMs: () => held.forMs } as Partial<QuarantineTask> as QuarantineTask
--- a/daemon/request/work.ts
+++ b/daemon/request/work.ts
@@ -1,7 +1,7 @@
 /** Describes a request and the parts of the daemon that it uses. */
 import type { AccountId, ClassName, Fingerprint, PoolName, RequestId } from '../../core/ids/index.ts'
 import type { ClaimResult } from '../../core/once/index.ts'
-import type { RepeatBudget } from '../../core/retry/index.ts'
+import type { RetryLimiter } from '../../core/retry/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
 import type { Demand, WorkClass } from '../../core/work/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
@@ -36,7 +36,7 @@
 export interface RequestPorts {
   table: EndpointTable
   dispatcher: Dispatcher
-  budget: RepeatBudget
+  budget: RetryLimiter
   metrics: Metrics
   crashes: CrashWatch
   quarantine: QuarantineTask
--- a/daemon/rollout/rollout_follower.ts
+++ b/daemon/rollout/rollout_follower.ts
@@ -2,7 +2,7 @@
 import { problemsOf } from '../../core/config/validate.ts'
 import { as, type PoolName } from '../../core/ids/index.ts'
 import type { Fact } from '../../core/membership/index.ts'
-import { isSameOrder, orderId, progressOf, type RolloutProgress, type RolloutRecord } from '../../core/rollout/index.ts'
+import { isSameOrder, orderId, currentProgress, type RolloutProgress, type RolloutRecord } from '../../core/rollout/index.ts'
 import type { Random } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import { StoreFollower, type ObjectSource, type StoredObject } from '../../store/index.ts'
@@ -117,7 +117,7 @@
 
   #progress (pool: PoolName): RolloutProgress | undefined {
     const record = this.#records.get(pool)
-    return record && progressOf(record)
+    return record && currentProgress(record)
   }
 
   /** Ends the rollout of each order that was deleted from the store, at whatever stage: its new version is no longer wanted. */
@@ -125,7 +125,7 @@
     for (const [pool, record] of this.#records) {
       if (record.version > version || objects.has(this.#options.port.prefix + pool)) continue
       this.#records.delete(pool)
-      log('rollout-stage', { pool, to: record.order.to, from: progressOf(record)?.from, stage: 'taken-back', why: 'the order is gone', granted: progressOf(record)?.granted ?? 0 })
+      log('rollout-stage', { pool, to: record.order.to, from: currentProgress(record)?.from, stage: 'taken-back', why: 'the order is gone', granted: currentProgress(record)?.granted ?? 0 })
       this.#notify(pool)
     }
   }
@@ -151,9 +151,9 @@
     if (known && known.version >= record.version) return
     this.#records.set(pool, record)
     if (!known || !isSameOrder(known.order, record.order)) this.#orderSeenAtMs.set(pool, steadyNow())
-    const progress = progressOf(record)
+    const progress = currentProgress(record)
     const stage = progress?.stage ?? 'ordered'
-    if (stage !== (known && (progressOf(known)?.stage ?? 'ordered'))) {
+    if (stage !== (known && (currentProgress(known)?.stage ?? 'ordered'))) {
       log('rollout-stage', { pool, to: record.order.to, from: progress?.from, stage, why: progress?.why ?? 'an operator ordered it', granted: progress?.granted ?? 0 })
     }
     this.#notify(pool)
--- a/daemon/rollout/rollout_task.ts
+++ b/daemon/rollout/rollout_task.ts
@@ -1,7 +1,7 @@
 /** Moves rollouts through their stages, on the daemon that holds the lease. */
 import { as, type DaemonId, type EndpointId, type EndpointVersion, type PoolName } from '../../core/ids/index.ts'
 import {
-  addAnswers, AnswerHistory, answersPrefix, ASKED, classAnswers, compareVersions, endpointsFor, GRANT_EVERY_MS, GRANT_MS, GrantLedger, groupAnswers, isFinal, nextPortion, nextProgress, orderId, progressOf, readAnswerKey, shareOut,
+  addAnswers, AnswerHistory, answerKeyPrefix, REQUEST_COUNT, classAnswers, compareVersions, endpointCountFor, GRANT_INTERVAL_MS, GRANT_TTL_MS, GrantLedger, groupAnswers, isFinal, nextGrantBatch, nextProgress, orderId, currentProgress, parseAnswerKey, distributeGrants,
   type AnswerKey, type ClassGrant, type Answers, type Comparison, type DaemonDemand, type ExposureLimit, type RolloutProgress, type RolloutRecord
 } from '../../core/rollout/index.ts'
 import { runningNow, type Random } from '../../core/routing/index.ts'
@@ -116,16 +116,16 @@
   }
 
   #holdIfWorse (record: RolloutRecord): void {
-    const progress = progressOf(record)
+    const progress = currentProgress(record)
     if (progress && !isFinal(progress) && this.#compare(progress, this.#answersOf(progress)).verdict === 'worse') this.#options.rollouts.hold(progress)
   }
 
   #compare (progress: RolloutProgress, answers: Answers): Comparison {
-    return compareVersions(answers, this.#canaryStateOf(progress).history.note(answers, steadyNow()))
+    return compareVersions(answers, this.#canaryStateOf(progress).history.record(answers, steadyNow()))
   }
 
   #advance (record: RolloutRecord): void {
-    const progress = progressOf(record)
+    const progress = currentProgress(record)
     if (!progress) {
       this.#prepare(record)
       return
@@ -139,7 +139,7 @@
       newSlots: this.#slotsOf(progress.order.pool, progress.order.to),
       running: this.#runningInPool(progress.order.pool),
       runningAtOld: this.#runningAtOldVersion(progress, state),
-      newsMs: this.#options.newsMs
+      propagationMs: this.#options.newsMs
     })
     if (next) this.#write(record, next)
     else if (progress.stage === 'canary') this.#issueGrants(record, { progress, state, answers })
@@ -204,17 +204,17 @@
 
   #onGrantUsed (from: DaemonId, { pool, order, number, used }: GrantUsedMessage): void {
     const state = this.#canaryStates.get(pool)
-    if (state?.order === order) state.ledger.returned(from, number, used)
+    if (state?.order === order) state.ledger.settle(from, number, used)
   }
 
   #issueGrants (record: RolloutRecord, { progress, state, answers }: { progress: RolloutProgress, state: CanaryState, answers: Answers }): void {
     const now = steadyNow()
-    if (now - state.lastGrantAtMs < GRANT_EVERY_MS) return
+    if (now - state.lastGrantAtMs < GRANT_INTERVAL_MS) return
     const { pool, to } = progress.order
     const endpoints = this.#options.table.ofVersion(pool, to).map(({ id }) => id)
     const { demand, requests } = this.#demandOf(progress)
-    const portion = nextPortion({ requests, ageMs: this.#ageMs(progress), granted: state.ledger.granted, endpoints: endpoints.length, answers }, this.#options.exposure)
-    const grants = portion && shareOut(demand, { requests: portion.requests, forMs: GRANT_MS, random: this.#options.random })
+    const portion = nextGrantBatch({ requests, ageMs: this.#ageMs(progress), granted: state.ledger.granted, endpoints: endpoints.length, answers }, this.#options.exposure)
+    const grants = portion && distributeGrants(demand, { requests: portion.requests, forMs: GRANT_TTL_MS, random: this.#options.random })
     const sum = grants ? totalRequests(grants) : 0
     if (sum === 0) return
     if (state.ledger.granted + sum > state.persistedGrants) {
@@ -222,10 +222,10 @@
       return
     }
     state.lastGrantAtMs = now
-    const chosen = leastChosen(state.timesChosen, endpoints, endpointsFor(sum, portion!))
+    const chosen = leastChosen(state.timesChosen, endpoints, endpointCountFor(sum, portion!))
     for (const [daemon, requests] of grants!) {
-      const number = state.ledger.give(daemon, totalRequests([[daemon, requests]]))
-      this.#sendGrant(daemon, { pool, grant: { order: state.order, number, requests, endpoints: chosen, forMs: GRANT_MS } })
+      const number = state.ledger.issue(daemon, totalRequests([[daemon, requests]]))
+      this.#sendGrant(daemon, { pool, grant: { order: state.order, number, requests, endpoints: chosen, forMs: GRANT_TTL_MS } })
     }
   }
 
@@ -238,7 +238,7 @@
   /** Request rate of each daemon and class since the order, and the number of requests in all. */
   #demandOf (progress: RolloutProgress): { demand: DaemonDemand[], requests: number } {
     const seconds = Math.max(1, this.#ageMs(progress) / MS_PER_S)
-    const asked = [...this.#countsOf(progress)].filter(({ key }) => key.bucket === ASKED)
+    const asked = [...this.#countsOf(progress)].filter(({ key }) => key.bucket === REQUEST_COUNT)
     return {
       demand: asked.map(({ daemon, key, count }) => ({ daemon, cls: key.cls, perS: count / seconds })),
       requests: asked.reduce((sum, { count }) => sum + count, 0)
@@ -248,7 +248,7 @@
   #answersOf (progress: RolloutProgress): Answers {
     const answers: Answers = new Map()
     for (const { key: { cls, version, group = 0, bucket }, count } of this.#countsOf(progress)) {
-      if (bucket === ASKED) continue
+      if (bucket === REQUEST_COUNT) continue
       const counts = classAnswers(answers, cls)
       if (version === progress.from) addAnswers(counts.old, bucket, count)
       else addAnswers(groupAnswers(counts, group), bucket, count)
@@ -259,8 +259,8 @@
   * #countsOf (progress: RolloutProgress): Iterable<{ daemon: DaemonId, key: AnswerKey, count: number }> {
     const { pool } = progress.order
     const order = orderId(progress)
-    for (const { daemon, key: text, total } of this.#options.tallies.tally.entries(answersPrefix(pool))) {
-      const key = this.#parsedKeys.get(text) ?? readAnswerKey(pool, text)
+    for (const { daemon, key: text, total } of this.#options.tallies.tally.entries(answerKeyPrefix(pool))) {
+      const key = this.#parsedKeys.get(text) ?? parseAnswerKey(pool, text)
       this.#parsedKeys.set(text, key)
       if (key.order === order) yield { daemon, key, count: total }
     }
@@ -299,7 +299,7 @@
 }
 
 function isUnfinished (record: RolloutRecord): boolean {
-  const progress = progressOf(record)
+  const progress = currentProgress(record)
   return !progress || !isFinal(progress)
 }
 
--- a/daemon/rollout/rollout_task_test.ts
+++ b/daemon/rollout/rollout_task_test.ts
@@ -2,7 +2,7 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import xxhash from 'xxhash-wasm'
 import { as, type ClassName, type DaemonId, type EndpointId, type EndpointVersion, type FailureDomain, type HostId, type PoolName } from '../../core/ids/index.ts'
-import { exposureAllowed, isFinal, progressOf, type RolloutOrder, type RolloutProgress, type RolloutRecord } from '../../core/rollout/index.ts'
+import { exposureAllowed, isFinal, currentProgress, type RolloutOrder, type RolloutProgress, type RolloutRecord } from '../../core/rollout/index.ts'
 import type { EndpointView, Random } from '../../core/routing/index.ts'
 import { Tally } from '../../core/tally/index.ts'
 import { SharedClock, steadyNow } from '../../core/time/index.ts'
@@ -66,7 +66,7 @@
 
   #apply (record: RolloutRecord, progress: RolloutProgress): boolean {
     if (this.record?.version !== record.version) return false
-    const before = progressOf(this.record)
+    const before = currentProgress(this.record)
     if (before && isFinal(before)) this.contradictions++
     this.record = { ...this.record, version: ++this.#version, progress }
     if (isFinal(progress)) this.verdicts.push(progress.stage)
@@ -119,7 +119,7 @@
 
   /** Requests since the order. */
   get asked (): number { return this.requests - this.#requestsAtOrder }
-  get stage (): string | undefined { return this.store.record && progressOf(this.store.record)?.stage }
+  get stage (): string | undefined { return this.store.record && currentProgress(this.store.record)?.stage }
 
   stop (): void {
     for (const { task, gate } of this.daemons) {
--- a/daemon/rollout/version_gate.ts
+++ b/daemon/rollout/version_gate.ts
@@ -1,6 +1,6 @@
 /** Decides on each daemon which version of a pool's endpoints serves a request, and counts the answers of each version. */
 import type { ClassName, DaemonId, EndpointVersion, PoolName } from '../../core/ids/index.ts'
-import { answerKey, answersPrefix, askedKey, bucketOf, GrantPurse, groupOf, isFinal, orderId, progressOf, versionRule, type AnswerBucket, type Grant, type RolloutProgress, type VersionRule } from '../../core/rollout/index.ts'
+import { answerKey, answerKeyPrefix, requestCountKey, timeBucket, GrantAllowance, endpointGroup, isFinal, orderId, currentProgress, versionRule, type AnswerBucket, type Grant, type RolloutProgress, type VersionRule } from '../../core/rollout/index.ts'
 import type { EndpointView, Hash32 } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
@@ -42,7 +42,7 @@
   /** Version that serves each pool outside a rollout: the one found when the pool was first seen, or that of the last completed order. */
   readonly #stableVersions = new Map<PoolName, EndpointVersion>()
   readonly #rules = new Map<PoolName, VersionRule>()
-  readonly #grants = new Map<PoolName, { purse: GrantPurse, order: string, from: DaemonId | undefined }>()
+  readonly #grants = new Map<PoolName, { purse: GrantAllowance, order: string, from: DaemonId | undefined }>()
   readonly #timers = new Map<PoolName, NodeJS.Timeout>()
   #onGrantUsed: (used: GrantUsedMessage) => void = () => {}
   #onVersionEmptied: (pool: PoolName, version: EndpointVersion) => void = () => {}
@@ -73,8 +73,8 @@
   /** Accepts a grant; `from` is undefined for one that this daemon issued itself. */
   acceptGrant (pool: PoolName, grant: Grant, from: DaemonId | undefined): void {
     const known = this.#grants.get(pool)
-    const purse = known?.purse ?? new GrantPurse()
-    const before = purse.take(grant, steadyNow())
+    const purse = known?.purse ?? new GrantAllowance()
+    const before = purse.start(grant, steadyNow())
     if (known && before) this.#reportUsed({ pool, order: known.order, ...before }, known.from)
     this.#grants.set(pool, { purse, order: grant.order, from })
     clearTimeout(this.#timers.get(pool))
@@ -108,12 +108,12 @@
   /** Counts a request that arrived. */
   asked ({ pool, cls }: GatedWork): void {
     const progress = this.#unfinished(pool)
-    if (progress) this.#addToTally(askedKey(pool, orderId(progress), cls.name))
+    if (progress) this.#addToTally(requestCountKey(pool, orderId(progress), cls.name))
   }
 
   /** Counts an answer by the time that its first part took. */
   answered (view: EndpointView, cls: ClassName, { tookMs, predictedMs }: { tookMs: number, predictedMs: number }): void {
-    this.#count(view, cls, bucketOf(tookMs, predictedMs))
+    this.#count(view, cls, timeBucket(tookMs, predictedMs))
   }
 
   /** Counts a failure that the endpoint itself reported. */
@@ -127,7 +127,7 @@
     const isNew = view.version === progress.order.to
     if (!isNew && view.version !== progress.from) return
     this.#options.metrics.rolloutAnswers.inc({ pool: view.pool, version: view.version, failed: bucket === 'failed' ? 'yes' : 'no' })
-    const group = isNew ? groupOf(view.id, this.#options.hash) : undefined
+    const group = isNew ? endpointGroup(view.id, this.#options.hash) : undefined
     this.#addToTally(answerKey(view.pool, { order: orderId(progress), version: view.version, cls, group, bucket }))
   }
 
@@ -144,7 +144,7 @@
 
   #progress (pool: PoolName): RolloutProgress | undefined {
     const record = this.#options.rollouts.records.get(pool)
-    return record && progressOf(record)
+    return record && currentProgress(record)
   }
 
   #mayServe ({ pool, version }: EndpointView): boolean {
@@ -175,7 +175,7 @@
     const progress = this.#progress(pool)
     if (progress?.stage === 'completed') this.#stableVersions.set(pool, progress.order.to)
     this.#rules.delete(pool)
-    if (!progress || isFinal(progress)) this.#options.tallies.tally.forget((key) => key.startsWith(answersPrefix(pool)))
+    if (!progress || isFinal(progress)) this.#options.tallies.tally.forget((key) => key.startsWith(answerKeyPrefix(pool)))
     this.#options.table.restrict((view) => this.#mayServe(view))
     const { leaves } = this.#ruleOf(pool) ?? {}
     if (leaves !== undefined) this.#onVersionEmptied(pool, leaves)
--- a/daemon/status.ts
+++ b/daemon/status.ts
@@ -1,6 +1,6 @@
 /** Status report of one daemon, for operators. */
 import type { DaemonId, PoolName } from '../core/ids/index.ts'
-import { progressOf, type RolloutRecord } from '../core/rollout/index.ts'
+import { currentProgress, type RolloutRecord } from '../core/rollout/index.ts'
 import { runningNow } from '../core/routing/index.ts'
 import { steadyNow } from '../core/time/index.ts'
 import type { WorkClass } from '../core/work/index.ts'
@@ -88,7 +88,7 @@
 }
 
 function rolloutStatus (record: RolloutRecord): RolloutStatus {
-  const progress = progressOf(record)
+  const progress = currentProgress(record)
   const { pool, to } = record.order
   return { pool, to, from: progress?.from, stage: progress?.stage ?? 'ordered', why: progress?.why ?? 'no daemon has begun with it', granted: progress?.granted ?? 0 }
 }
