--- a/bench/_accrual_detector.ts
+++ b/bench/_accrual_detector.ts
@@ -1,5 +1,5 @@
 /** Phi accrual failure detector, used as a baseline for comparison. */
-import type { Detector } from '../core/membership/index.ts'
+import type { FailureDetector } from '../core/membership/index.ts'
 
 /** Options of {@linkcode AccrualDetector}; the defaults are those of the paper cited there. */
 export interface AccrualOptions {
@@ -19,7 +19,7 @@
  * Uses the dual moving average of "phi_accrual: a source-agnostic φ-accrual failure detector for Elixir/OTP". It serves as a
  * baseline for the fixed timeout that the daemons use; see docs/design/membership.md.
  */
-export class AccrualDetector implements Detector {
+export class AccrualDetector implements FailureDetector {
   readonly #options: Required<AccrualOptions>
   #meanMs: number
   #variance: number
@@ -32,7 +32,7 @@
     this.#lastHeartbeatMs = now
   }
 
-  heard (now: number): void {
+  recordHeartbeat (now: number): void {
     const gap = now - this.#lastHeartbeatMs
     const { alpha } = this.#options
     this.#lastHeartbeatMs = now
@@ -40,7 +40,7 @@
     this.#meanMs = (1 - alpha) * this.#meanMs + alpha * gap
   }
 
-  suspects (now: number): boolean {
+  isSuspect (now: number): boolean {
     return this.suspicion(now) > this.#options.threshold
   }
 
--- a/bench/cost.ts
+++ b/bench/cost.ts
@@ -1,5 +1,5 @@
 /** Simulated days of a fleet: cost, missed requests and recomputed tokens, compared with baselines and with a lower bound that knows all reclaims in advance. */
-import { CheapestPlanner, MixPlanner, OnDemandPlanner, ReclaimRisk, ScaleDown, type FleetPlanner, type Offer } from '../core/fleet/index.ts'
+import { CheapestPlanner, MixPlanner, OnDemandPlanner, ReclaimRisk, ScaleDownWindow, type FleetPlanner, type Offer } from '../core/fleet/index.ts'
 import { as, type FailureDomain } from '../core/ids/index.ts'
 import { canFinish, evaluate, JointPlanner } from '../core/reclaim/index.ts'
 import type { Random } from '../core/routing/index.ts'
@@ -95,7 +95,7 @@
 function simulate (day: Day, strategy: Strategy, random: Random): Result {
   const planner = strategy.make()
   const risk = new ReclaimRisk(0)
-  const scale = new ScaleDown()
+  const scale = new ScaleDownWindow()
   const result: Result = { cost: 0, missed: 0, recomputed: 0, waves: day.waves.length }
   let hosts: Host[] = []
   let offered = 0
@@ -116,15 +116,15 @@
 function offersAt (day: Day, risk: ReclaimRisk, now: number): Offer[] {
   const refused = (domain: FailureDomain) => day.waves.some((wave) => wave.domain === domain && wave.atMs <= now && now < wave.atMs + wave.refusedMs)
   return [
-    ...day.domains.map(({ name, price }): Offer => ({ failureDomain: name, reclaimable: true, pricePerHour: price, wavesPerDay: risk.perDay(name, now), available: !refused(name) })),
-    { failureDomain: day.domains[0]!.name, reclaimable: false, pricePerHour: ON_DEMAND_PRICE, wavesPerDay: 0, available: true }
+    ...day.domains.map(({ name, price }): Offer => ({ failureDomain: name, reclaimable: true, pricePerHour: price, reclaimsPerDay: risk.perDay(name, now), available: !refused(name) })),
+    { failureDomain: day.domains[0]!.name, reclaimable: false, pricePerHour: ON_DEMAND_PRICE, reclaimsPerDay: 0, available: true }
   ]
 }
 
 interface WaveContext { day: Day, strategy: Strategy, risk: ReclaimRisk, result: Result, random: Random }
 
 function reclaim (wave: Wave, hosts: readonly Host[], { day, strategy, risk, result, random }: WaveContext): Host[] {
-  risk.reclaimed(wave.domain)
+  risk.recordReclaim(wave.domain)
   const lost = hosts.filter((host) => host.reclaimable && host.domain === wave.domain)
   if (lost.length > 0 && hosts.length > lost.length) {
     const problem = makeProblem({ ...day.shape, endpoints: hosts.length }, { leaving: lost.length, noticeMs: wave.noticeMs, random })
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,7 +1,7 @@
 /** Admission control under load: fairness between small accounts and a large one, and goodput above capacity. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { FairQueue, FifoQueue, type WorkQueue } from '../core/admission/index.ts'
-import { classOf } from '../core/config/index.ts'
+import { FairQueue, FifoQueue, type RequestQueue } from '../core/admission/index.ts'
+import { toWorkClass } from '../core/config/index.ts'
 import { as, type AccountId, type DaemonId, type PoolName } from '../core/ids/index.ts'
 import { PrefixIndex, TargetRouter, type Random } from '../core/routing/index.ts'
 import { Dispatcher, type Placement } from '../daemon/request/dispatcher.ts'
@@ -82,9 +82,9 @@
   const hash = (text: string) => text.length
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
   table.listed(Array.from({ length: ENDPOINTS }, (_, i) => makeHost(i)))
-  const queue = (): WorkQueue<Placement> => (kind === 'fair' ? new FairQueue() : new FifoQueue())
+  const queue = (): RequestQueue<Placement> => (kind === 'fair' ? new FairQueue() : new FifoQueue())
   const dispatcher = new Dispatcher({ table, router: new TargetRouter({ random: seededRandom(seed) }), prefixes: new PrefixIndex(), queue })
-  const cls = { ...classOf(sessionConfig().classes[0]!, true), latency: { firstTokenMs: 1800, betweenTokensMs: 60, deadlineMs: DEADLINE_MS } }
+  const cls = { ...toWorkClass(sessionConfig().classes[0]!, true), latency: { firstTokenMs: 1800, betweenTokensMs: 60, deadlineMs: DEADLINE_MS } }
   const outcomes: Outcome[] = []
   for (const { atMs, account } of arrivals) {
     setTimeout(() => {
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,7 +1,7 @@
 /** Cost and convergence time of membership and configuration, with many small nodes in one process connected over loopback. */
 import xxhash from 'xxhash-wasm'
 import { as, type DaemonId } from '../core/ids/index.ts'
-import { HEARTBEAT_MS, SUSPECT_AFTER_MS, TimeoutDetector, type Detector } from '../core/membership/index.ts'
+import { HEARTBEAT_MS, SUSPECT_AFTER_MS, TimeoutDetector, type FailureDetector } from '../core/membership/index.ts'
 import type { Hash32, Random } from '../core/routing/index.ts'
 import { delay } from '../core/time/index.ts'
 import { AuditTrail } from '../daemon/config/audit.ts'
@@ -160,7 +160,7 @@
     // One interval in 200 is extended by a process pause of 2 to 3.5 s.
     paused: () => HEARTBEAT_MS + (random() < 0.005 ? 2000 + random() * 1500 : random() * 50)
   }
-  const detectors: Record<string, () => Detector> = {
+  const detectors: Record<string, () => FailureDetector> = {
     'timeout 4 s': () => new TimeoutDetector(SUSPECT_AFTER_MS, 0),
     'timeout 2 s': () => new TimeoutDetector(2000, 0),
     'accrual 8': () => new AccrualDetector(0),
@@ -172,17 +172,17 @@
 const TRIAL_HEARTBEATS = 36_000
 const CHECK_MS = 100
 
-function simulateDetector (detector: Detector, gap: () => number): { wrongPerHour: number, detectMs: number } {
+function simulateDetector (detector: FailureDetector, gap: () => number): { wrongPerHour: number, detectMs: number } {
   let now = 0
   let wrong = 0
   for (let beat = 0; beat < TRIAL_HEARTBEATS; beat++) {
     const next = now + gap()
-    if (detector.suspects(next - 1)) wrong++
+    if (detector.isSuspect(next - 1)) wrong++
     now = next
-    detector.heard(now)
+    detector.recordHeartbeat(now)
   }
   let detectMs = 0
-  while (!detector.suspects(now + detectMs) && detectMs < 60_000) detectMs += CHECK_MS
+  while (!detector.isSuspect(now + detectMs) && detectMs < 60_000) detectMs += CHECK_MS
   return { wrongPerHour: round(wrong / TRIAL_HEARTBEATS * 3600, 1), detectMs }
 }
 
--- a/core/admission/fair_queue.ts
+++ b/core/admission/fair_queue.ts
@@ -2,7 +2,7 @@
 import type { AccountId } from '../ids/index.ts'
 
 /** A queued request. */
-export interface Waiting<T> {
+export interface QueuedRequest<T> {
   account: AccountId
   /** Cost of the request in tokens. */
   tokens: number
@@ -14,22 +14,22 @@
 }
 
 /** Queue that determines which request starts next. */
-export interface WorkQueue<T> {
+export interface RequestQueue<T> {
   readonly length: number
-  push (entry: Waiting<T>): void
+  push (entry: QueuedRequest<T>): void
   /** Returns the number of queued requests that would start before a new request of this account. */
   ahead (account: AccountId, urgent: boolean): number
   /** Returns the request to start next without removing it. */
-  peek (): Waiting<T> | undefined
-  remove (entry: Waiting<T>): void
+  peek (): QueuedRequest<T> | undefined
+  remove (entry: QueuedRequest<T>): void
   /** Returns a request that matches, or undefined if there is none. */
-  find (matches: (entry: Waiting<T>) => boolean): Waiting<T> | undefined
+  find (matches: (entry: QueuedRequest<T>) => boolean): QueuedRequest<T> | undefined
   /** Removes and returns the requests whose latest start time has passed. */
-  expire (now: number): Waiting<T>[]
+  expire (now: number): QueuedRequest<T>[]
 }
 
 /** Requests of one account. The start tag is the virtual time, in tokens, at which its next request starts. */
-interface AccountQueue<T> { startTag: number, entries: Waiting<T>[] }
+interface AccountQueue<T> { startTag: number, entries: QueuedRequest<T>[] }
 
 /**
  * Start-time fair queue: urgent requests go first, and among accounts the one with the lowest start tag.
@@ -37,14 +37,14 @@
  * Guards against an account that sends ten times its share: in a single FIFO queue the small accounts would wait behind it. An account that was idle
  * starts at the current virtual time, so that it accumulates no credit.
  */
-export class FairQueue<T> implements WorkQueue<T> {
+export class FairQueue<T> implements RequestQueue<T> {
   readonly #accountQueues = new Map<AccountId, AccountQueue<T>>()
   #virtualTime = 0
   #length = 0
 
   get length (): number { return this.#length }
 
-  push (entry: Waiting<T>): void {
+  push (entry: QueuedRequest<T>): void {
     const queue = this.#queueOf(entry.account)
     if (queue.entries.length === 0) queue.startTag = Math.max(queue.startTag, this.#virtualTime)
     const index = entry.urgent ? queue.entries.findIndex((other) => !other.urgent) : -1
@@ -62,7 +62,7 @@
     return requestsAhead
   }
 
-  peek (): Waiting<T> | undefined {
+  peek (): QueuedRequest<T> | undefined {
     let best: AccountQueue<T> | undefined
     for (const queue of this.#accountQueues.values()) {
       if (queue.entries.length > 0 && (!best || precedes(queue, best))) best = queue
@@ -70,7 +70,7 @@
     return best?.entries[0]
   }
 
-  remove (entry: Waiting<T>): void {
+  remove (entry: QueuedRequest<T>): void {
     const queue = this.#queueOf(entry.account)
     const index = queue.entries.indexOf(entry)
     if (index < 0) return
@@ -81,7 +81,7 @@
     this.#removeIdleQueues()
   }
 
-  find (matches: (entry: Waiting<T>) => boolean): Waiting<T> | undefined {
+  find (matches: (entry: QueuedRequest<T>) => boolean): QueuedRequest<T> | undefined {
     for (const queue of this.#accountQueues.values()) {
       const found = queue.entries.find(matches)
       if (found) return found
@@ -89,8 +89,8 @@
     return undefined
   }
 
-  expire (now: number): Waiting<T>[] {
-    const expired: Waiting<T>[] = []
+  expire (now: number): QueuedRequest<T>[] {
+    const expired: QueuedRequest<T>[] = []
     for (const queue of this.#accountQueues.values()) {
       expired.push(...queue.entries.filter((entry) => entry.startByMs <= now))
       queue.entries = queue.entries.filter((entry) => entry.startByMs > now)
@@ -123,17 +123,17 @@
 }
 
 /** First-in, first-out queue, as a baseline for {@linkcode FairQueue}. */
-export class FifoQueue<T> implements WorkQueue<T> {
-  #entries: Waiting<T>[] = []
+export class FifoQueue<T> implements RequestQueue<T> {
+  #entries: QueuedRequest<T>[] = []
 
   get length (): number { return this.#entries.length }
-  push (entry: Waiting<T>): void { this.#entries.push(entry) }
+  push (entry: QueuedRequest<T>): void { this.#entries.push(entry) }
   ahead (): number { return this.#entries.length }
-  peek (): Waiting<T> | undefined { return this.#entries[0] }
-  find (matches: (entry: Waiting<T>) => boolean): Waiting<T> | undefined { return this.#entries.find(matches) }
-  remove (entry: Waiting<T>): void { this.#entries = this.#entries.filter((other) => other !== entry) }
+  peek (): QueuedRequest<T> | undefined { return this.#entries[0] }
+  find (matches: (entry: QueuedRequest<T>) => boolean): QueuedRequest<T> | undefined { return this.#entries.find(matches) }
+  remove (entry: QueuedRequest<T>): void { this.#entries = this.#entries.filter((other) => other !== entry) }
 
-  expire (now: number): Waiting<T>[] {
+  expire (now: number): QueuedRequest<T>[] {
     const expired = this.#entries.filter((entry) => entry.startByMs <= now)
     this.#entries = this.#entries.filter((entry) => entry.startByMs > now)
     return expired
--- a/core/admission/fair_queue_test.ts
+++ b/core/admission/fair_queue_test.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check'
 import { expect, test } from 'vitest'
 import { as, type AccountId } from '../ids/index.ts'
-import { FairQueue, FifoQueue, type Waiting, type WorkQueue } from './index.ts'
+import { FairQueue, FifoQueue, type QueuedRequest, type RequestQueue } from './index.ts'
 
 const SEED = 5
 const MAX_TOKENS = 500
-const waiting = (account: string, change: Partial<Waiting<number>> = {}): Waiting<number> => ({ account: as<AccountId>(account), tokens: 100, startByMs: 1000, urgent: false, item: 0, ...change })
+const waiting = (account: string, change: Partial<QueuedRequest<number>> = {}): QueuedRequest<number> => ({ account: as<AccountId>(account), tokens: 100, startByMs: 1000, urgent: false, item: 0, ...change })
 
-function drain (queue: WorkQueue<number>): Waiting<number>[] {
-  const taken: Waiting<number>[] = []
+function drain (queue: RequestQueue<number>): QueuedRequest<number>[] {
+  const taken: QueuedRequest<number>[] = []
   for (let next = queue.peek(); next; next = queue.peek()) {
     queue.remove(next)
     taken.push(next)
--- a/core/catalog/allowed_work.ts
+++ b/core/catalog/allowed_work.ts
@@ -7,7 +7,7 @@
  * @param accounts Accounts by credential; an account with several credentials counts once.
  * @returns Tokens per second. Accounts without a token quota do not count.
  */
-export function allowedTokensPerS (accounts: Iterable<Account>): number {
+export function totalTokenQuotaPerS (accounts: Iterable<Account>): number {
   const quotas = new Map<AccountId, number>()
   for (const { id, quota } of accounts) quotas.set(id, quota?.unit === 'tokens' ? quota.perS : 0)
   return [...quotas.values()].reduce((sum, perS) => sum + perS, 0)
--- a/core/catalog/catalog.ts
+++ b/core/catalog/catalog.ts
@@ -40,7 +40,7 @@
 }
 
 /** Capacity and features of the model engines of a pool. */
-export interface EngineRoom {
+export interface EngineCapacity {
   /** Requests decoded concurrently. */
   batchSlots: number
   kvTokens: number
@@ -73,7 +73,7 @@
   healthPath: string
   /** Maximum number of connections to one endpoint from all daemons together. */
   maxConnections: number
-  engine: EngineRoom | undefined
+  engine: EngineCapacity | undefined
   scaling: Scaling | undefined
 }
 
--- a/core/catalog/urgency.ts
+++ b/core/catalog/urgency.ts
@@ -9,7 +9,7 @@
  * Applies to streams only: their prompts are prefilled one after the other, so that a long prompt delays all behind it. Plain calls do not wait for each
  * other; an endpoint either has capacity for them or not.
  */
-export class Urgency {
+export class UrgencyClassifier {
   /** Highest priority (lowest number) among the stream classes of each pool. */
   readonly #topPriority = new Map<PoolName, number>()
 
@@ -21,7 +21,7 @@
   }
 
   /** Returns the class of a request, marked urgent if it has the highest priority at one of its pools. The priority of the account overrides that of the class. */
-  classOf ({ cls, pools }: Route, account: Account | undefined): WorkClass {
+  classify ({ cls, pools }: Route, account: Account | undefined): WorkClass {
     if (!cls.streaming) return cls
     const rank = account?.priority ?? cls.priority
     const urgent = pools.some(({ pool }) => rank <= (this.#topPriority.get(pool) ?? rank))
--- a/core/config/config_test.ts
+++ b/core/config/config_test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs'
 import { expect, test } from 'vitest'
 import { settingsSchema } from '../../daemon/settings.ts'
-import { configSchema, diff, InvalidError, newest, nextAccepted, parseJsonc, type Config } from './index.ts'
+import { configSchema, diff, InvalidError, newerRevision, nextRevision, parseJsonc, type Config } from './index.ts'
 
 const EXAMPLES = ['adunni_levy', 'kingston_parish']
 const example = (name: string, kind: string) => readFileSync(new URL(`../../examples/${name}.${kind}.jsonc`, import.meta.url), 'utf8')
@@ -39,17 +39,17 @@
 test('an older revision never replaces a newer one', () => {
   // Guards against a change that appears to revert: the watch event of revision 1 may arrive after a peer
   // has sent revision 2, so the last arrival is not always the newest.
-  const first = nextAccepted(undefined, config(), { id: 'a', operator: 'ada', atMs: 5 })
-  const second = nextAccepted(first, { ...config(), wantsLeast: 'recomputed-work' }, { id: 'b', operator: 'bo', atMs: 1 })
-  expect(newest(second, first)).toBe(second)
-  expect(newest(first, second)).toBe(second)
+  const first = nextRevision(undefined, config(), { id: 'a', operator: 'ada', atMs: 5 })
+  const second = nextRevision(first, { ...config(), wantsLeast: 'recomputed-work' }, { id: 'b', operator: 'bo', atMs: 1 })
+  expect(newerRevision(second, first)).toBe(second)
+  expect(newerRevision(first, second)).toBe(second)
   expect(second.changes.at(-1)!.diff).toEqual([{ path: 'wantsLeast', from: 'cost', to: 'recomputed-work' }])
 })
 
 test('the audit trail shows that a credential changed without revealing its hash', () => {
-  const first = nextAccepted(undefined, config(), { id: 'a', operator: 'ada', atMs: 1 })
+  const first = nextRevision(undefined, config(), { id: 'a', operator: 'ada', atMs: 1 })
   const [account, ...others] = config().accounts
-  const second = nextAccepted(first, { ...config(), accounts: [{ ...account!, credentialSha256: 'f'.repeat(64) }, ...others] }, { id: 'b', operator: 'ada', atMs: 2 })
+  const second = nextRevision(first, { ...config(), accounts: [{ ...account!, credentialSha256: 'f'.repeat(64) }, ...others] }, { id: 'b', operator: 'ada', atMs: 2 })
   expect(second.changes.at(-1)!.diff).toEqual([{ path: 'accounts.ikeja-council.credential', from: `sha256 ${account!.credentialSha256.slice(0, 8)}`, to: 'sha256 ffffffff' }])
 })
 
--- a/core/config/revision.ts
+++ b/core/config/revision.ts
@@ -17,7 +17,7 @@
 }
 
 /** Value stored under the key of the configuration. */
-export interface Accepted {
+export interface AcceptedConfig {
   revision: number
   config: Config
   /** Latest changes, newest last. Stored with the configuration so that a change and its audit record are written by one conditional update. */
@@ -39,7 +39,7 @@
 }
 
 /** Returns the stored value that replaces `current` when `config` is accepted. */
-export function nextAccepted (current: Accepted | undefined, config: Config, options: { id: string, operator: string, atMs: number }): Accepted {
+export function nextRevision (current: AcceptedConfig | undefined, config: Config, options: { id: string, operator: string, atMs: number }): AcceptedConfig {
   const fromRevision = current?.revision ?? 0
   const change: Change = {
     ...options,
@@ -56,7 +56,7 @@
  * Watch events and copies from peers may arrive late, duplicated and out of order; an older revision that replaced a newer one would appear as a reverted
  * change. Revisions are assigned by conditional updates, so they order all copies without a clock.
  */
-export function newest<T extends { readonly revision: number }> (inForce: T | undefined, arrived: T | undefined): T | undefined {
+export function newerRevision<T extends { readonly revision: number }> (inForce: T | undefined, arrived: T | undefined): T | undefined {
   if (!inForce || !arrived) return inForce ?? arrived
   return arrived.revision > inForce.revision ? arrived : inForce
 }
--- a/core/fleet/endpoint_demand.ts
+++ b/core/fleet/endpoint_demand.ts
@@ -3,9 +3,9 @@
 /** Options of {@linkcode EndpointDemand}. */
 export interface EndpointDemandOptions {
   /** Initial demand in engines, assumed until work was measured. A daemon that starts measuring knows the endpoints that were ordered, but not the work. */
-  first: number
+  initialEngines: number
   /** True if it is certain that there is no work yet. Default false. */
-  idle?: boolean
+  knownIdle?: boolean
   /** Start time in milliseconds on the steady clock. */
   now: number
 }
@@ -14,7 +14,7 @@
 export interface RequestedTotal {
   tokens: number
   /** Number of daemons whose totals are included. */
-  tellers: number
+  reporters: number
   /** Current estimate of the time that an engine needs to prefill one token, in milliseconds. */
   msPerToken: number
 }
@@ -47,28 +47,28 @@
 
   constructor (options: EndpointDemandOptions) {
     this.#options = options
-    this.#initialEngines = options.first
-    this.#initialUntilMs = options.now + (options.idle ? INITIAL_HOLD_MS : SCALE_DOWN_HOLD_MS)
+    this.#initialEngines = options.initialEngines
+    this.#initialUntilMs = options.now + (options.knownIdle ? INITIAL_HOLD_MS : SCALE_DOWN_HOLD_MS)
   }
 
   /** Sets the demand that is assumed until work was measured. */
-  assume (demand: number): void {
+  setInitialEngines (demand: number): void {
     this.#initialEngines = demand
   }
 
   /** Returns true at the first start of the system, until work was measured for a while or none has arrived for a long time. */
-  uncounted (now: number): boolean {
-    return this.#options.idle === true && now <= this.#initialUntilMs
+  isBootstrapping (now: number): boolean {
+    return this.#options.knownIdle === true && now <= this.#initialUntilMs
   }
 
   /** Returns true for a short time after a start at which there was certainly no work. */
-  idle (now: number): boolean {
-    return this.#options.idle === true && now - this.#options.now < SCALE_DOWN_HOLD_MS
+  isKnownIdle (now: number): boolean {
+    return this.#options.knownIdle === true && now - this.#options.now < SCALE_DOWN_HOLD_MS
   }
 
   /** Returns false until demand was measured for long enough to be reliable. */
-  settled (now: number): boolean {
-    return this.#options.idle === true || now - this.#options.now > RATE_WINDOW_MS
+  isSettled (now: number): boolean {
+    return this.#options.knownIdle === true || now - this.#options.now > RATE_WINDOW_MS
   }
 
   /**
@@ -78,9 +78,9 @@
    * @param total Tokens requested since the start, over all daemons.
    * @returns Engines, possibly fractional.
    */
-  engines ({ tokens, tellers, msPerToken }: RequestedTotal, now: number): number {
-    if (tellers !== this.#reporters) this.#samples = []
-    this.#reporters = tellers
+  observe ({ tokens, reporters, msPerToken }: RequestedTotal, now: number): number {
+    if (reporters !== this.#reporters) this.#samples = []
+    this.#reporters = reporters
     this.#samples = this.#samples.filter((sample) => sample.atMs > now - RATE_WINDOW_MS)
     this.#samples.push({ atMs: now, tokens })
     const tokensPerS = Math.max(this.#tokensPerS(RATE_WINDOW_MS), this.#tokensPerS(SURGE_WINDOW_MS) * SURGE_WEIGHT)
--- a/core/fleet/hysteresis.ts
+++ b/core/fleet/hysteresis.ts
@@ -1,7 +1,7 @@
 /** Stabilization of the fleet size against oscillation. */
 
 /** Sliding maximum of the desired number of hosts: the fleet grows at once and shrinks only after fewer hosts have been enough for a while. */
-export class ScaleDown {
+export class ScaleDownWindow {
   readonly #holdMs: number
   #samples: Array<{ atMs: number, hosts: number }> = []
 
--- a/core/fleet/plan_fleet.ts
+++ b/core/fleet/plan_fleet.ts
@@ -7,7 +7,7 @@
   reclaimable: boolean
   pricePerHour: number
   /** Expected reclaims of the domain per day; 0 for on-demand hosts. */
-  wavesPerDay: number
+  reclaimsPerDay: number
   /** False while the cloud refuses to start such hosts. */
   available: boolean
 }
@@ -89,7 +89,7 @@
 
 /** Returns the available offers of one kind, sorted by price including the expected cost of reclaims. */
 function availableOffers (offers: readonly Offer[], reclaimable: boolean, demand: FleetDemand): Offer[] {
-  const effectivePrice = (offer: Offer) => offer.pricePerHour + offer.wavesPerDay / HOURS_PER_DAY * demand.lossPrice
+  const effectivePrice = (offer: Offer) => offer.pricePerHour + offer.reclaimsPerDay / HOURS_PER_DAY * demand.lossPrice
   return offers.filter((offer) => offer.available && offer.reclaimable === reclaimable).sort((a, b) => effectivePrice(a) - effectivePrice(b))
 }
 
@@ -104,9 +104,9 @@
   let pricePerHour = 0
   let expectedMissed = Math.max(0, needed - total) / needed
   for (const { offer, count } of holdings) {
-    pricePerHour += count * (offer.pricePerHour + offer.wavesPerDay / HOURS_PER_DAY * demand.lossPrice)
+    pricePerHour += count * (offer.pricePerHour + offer.reclaimsPerDay / HOURS_PER_DAY * demand.lossPrice)
     const missingShare = Math.max(0, demand.hosts - (total - count)) / demand.hosts
-    expectedMissed += missingShare * offer.wavesPerDay * demand.bootMs / MS_PER_DAY
+    expectedMissed += missingShare * offer.reclaimsPerDay * demand.bootMs / MS_PER_DAY
   }
   return { holdings, pricePerHour, expectedMissed }
 }
--- a/core/fleet/reclaim_risk.ts
+++ b/core/fleet/reclaim_risk.ts
@@ -23,7 +23,7 @@
   }
 
   /** Records a reclaim notice for hosts of a domain. */
-  reclaimed (domain: FailureDomain): void {
+  recordReclaim (domain: FailureDomain): void {
     this.#waves.set(domain, (this.#waves.get(domain) ?? 0) + 1)
   }
 
--- a/core/fleet/slot_demand.ts
+++ b/core/fleet/slot_demand.ts
@@ -1,5 +1,5 @@
 /** Demand of a pool for batch slots, measured in engines. */
-import { ScaleDown } from './hysteresis.ts'
+import { ScaleDownWindow } from './hysteresis.ts'
 
 /** Requests running in a pool, and the batch slots of one of its endpoints. */
 export interface SlotUsage { running: number, slots: number }
@@ -16,14 +16,14 @@
  * was given only as many endpoints as it would need if the number of slots were unlimited.
  */
 export class SlotDemand {
-  readonly #peak = new ScaleDown(SCALE_DOWN_HOLD_MS)
+  readonly #peak = new ScaleDownWindow(SCALE_DOWN_HOLD_MS)
   #smoothed = 0
 
   /**
    * Records the current usage and returns the highest demand within the last {@linkcode SCALE_DOWN_HOLD_MS}.
    * @returns Engines, possibly fractional.
    */
-  engines ({ running, slots }: SlotUsage, now: number): number {
+  observe ({ running, slots }: SlotUsage, now: number): number {
     this.#smoothed += SMOOTHING * (running / Math.max(1, slots) - this.#smoothed)
     return this.#peak.smooth(this.#smoothed, now)
   }
--- a/core/fleet/spread_plan.ts
+++ b/core/fleet/spread_plan.ts
@@ -10,17 +10,17 @@
   /** Reclaimable endpoints that serve and are not leaving. */
   reclaimable: number
   /** False from a refused order for reclaimable endpoints until one is accepted. */
-  reclaimableToBeHad: boolean
+  reclaimableAvailable: boolean
 }
 
 /** Numbers of endpoints that the work needs. */
-export interface EndpointsWanted {
+export interface EndpointTargets {
   /** With fewer endpoints, a backlog builds up. */
-  justEnough: number
+  minimum: number
   /** With fewer endpoints, answers are late even in steady state; worth the on-demand price. */
-  atLeast: number
+  required: number
   /** Enough endpoints to absorb bursts and the loss of a failure domain; worth the price of a reclaimable endpoint. */
-  comfortably: number
+  withHeadroom: number
 }
 
 /** Planned endpoints in one failure domain. */
@@ -43,15 +43,15 @@
  * domain's maximum includes both kinds, so that ordering all reclaimable endpoints at once would stop those that still carry the work.
  * @example `spreadPlan({ minimum: 2, required: 3, withHeadroom: 6 }, scaling, fleet)` plans two reclaimable endpoints in each of three domains.
  */
-export function spreadPlan (wanted: EndpointsWanted, scaling: Scaling, fleet: readonly DomainFleet[]): DomainMix[] {
+export function spreadPlan (wanted: EndpointTargets, scaling: Scaling, fleet: readonly DomainFleet[]): DomainMix[] {
   const domains = [...fleet].sort((a, b) => priceOf(scaling, a) - priceOf(scaling, b))
   const serving = sum(domains.map(({ reclaimable }) => reclaimable))
-  const neededAfterReclaim = isReclaimWave(domains) ? wanted.justEnough - (serving - Math.max(...domains.map(({ reclaimable }) => reclaimable))) : 0
-  const kept = retainOnDemand(Math.max(wanted.atLeast - serving, neededAfterReclaim), scaling, domains)
+  const neededAfterReclaim = isReclaimWave(domains) ? wanted.minimum - (serving - Math.max(...domains.map(({ reclaimable }) => reclaimable))) : 0
+  const kept = retainOnDemand(Math.max(wanted.required - serving, neededAfterReclaim), scaling, domains)
   const capacity = domains.map((_, i) => scaling.max - kept[i]!)
-  const spread = scaling.reclaimableShare === undefined ? domains.map(() => 0) : spreadReclaimable(wanted.comfortably, capacity, domains)
-  const reclaimable = retainServing(spread, { required: wanted.atLeast - sum(kept), room: capacity, domains })
-  const missing = Math.max(wanted.atLeast - (isReclaimWave(domains) ? serving : sum(reclaimable)), neededAfterReclaim) - sum(kept)
+  const spread = scaling.reclaimableShare === undefined ? domains.map(() => 0) : spreadReclaimable(wanted.withHeadroom, capacity, domains)
+  const reclaimable = retainServing(spread, { required: wanted.required - sum(kept), room: capacity, domains })
+  const missing = Math.max(wanted.required - (isReclaimWave(domains) ? serving : sum(reclaimable)), neededAfterReclaim) - sum(kept)
   const ordered = fillInOrder(missing, domains.map((_, i) => capacity[i]! - reclaimable[i]!))
   return domains.map(({ failureDomain }, i) => ({
     failureDomain,
@@ -74,17 +74,17 @@
 
 /** Returns true if a domain has no reclaimable endpoints available; the price increase behind it leads to reclaims in other domains within seconds. */
 function isReclaimWave (domains: readonly DomainFleet[]): boolean {
-  return domains.some(({ reclaimableToBeHad }) => !reclaimableToBeHad)
+  return domains.some(({ reclaimableAvailable }) => !reclaimableAvailable)
 }
 
 /** Spreads reclaimable endpoints evenly over the domains where they are available; the other domains keep those that they have. */
 function spreadReclaimable (target: number, capacity: readonly number[], domains: readonly DomainFleet[]): number[] {
-  const counts = domains.map((domain, i) => (domain.reclaimableToBeHad ? 0 : Math.min(domain.reclaimable, capacity[i]!)))
+  const counts = domains.map((domain, i) => (domain.reclaimableAvailable ? 0 : Math.min(domain.reclaimable, capacity[i]!)))
   const evenShare = Math.ceil(target / domains.length)
   for (let remaining = target - sum(counts); remaining > 0; remaining--) {
     let smallest = -1
     domains.forEach((domain, i) => {
-      const hasCapacity = domain.reclaimableToBeHad && counts[i]! < Math.min(capacity[i]!, evenShare + MAX_SKEW)
+      const hasCapacity = domain.reclaimableAvailable && counts[i]! < Math.min(capacity[i]!, evenShare + MAX_SKEW)
       if (hasCapacity && (smallest < 0 || counts[i]! < counts[smallest]!)) smallest = i
     })
     if (smallest < 0) break
--- a/core/lease/lease.ts
+++ b/core/lease/lease.ts
@@ -37,7 +37,7 @@
   /** Unique identifier of the write, stored as its `renewal`. */
   writeId: string
   /** Increase the fencing number of a lease already held, so that the holder's own earlier orders that are still in flight are rejected. Default false. */
-  raise?: boolean
+  increaseFencing?: boolean
 }
 
 /** Age at which the holder renews the lease, as a fraction of its time to live. */
@@ -49,7 +49,7 @@
 export const NO_LEASE: LeaseState = { version: 0, record: undefined, seenAtMs: 0, lastSent: undefined }
 
 /** Records that a write was sent to the store. */
-export function sending (state: LeaseState, record: LeaseRecord, now: number): LeaseState {
+export function recordSent (state: LeaseState, record: LeaseRecord, now: number): LeaseState {
   return { ...state, lastSent: { renewal: record.renewal, atMs: now } }
 }
 
@@ -59,7 +59,7 @@
  * The validity of this daemon's own record starts when it was sent, even if the daemon learns late that the write succeeded, since other daemons may
  * have read it long before and count from then. An own record that the daemon does not remember sending gives it no right to act.
  */
-export function seen (state: LeaseState, found: { record: LeaseRecord, version: number } | undefined, at: { self: DaemonId, now: number }): LeaseState {
+export function recordRead (state: LeaseState, found: { record: LeaseRecord, version: number } | undefined, at: { self: DaemonId, now: number }): LeaseState {
   if (!found) return { ...state, version: 0, record: undefined, seenAtMs: at.now }
   if (found.version === state.version) return state
   const { record, version } = found
@@ -78,7 +78,7 @@
   const { record, version, seenAtMs } = state
   if (!record) return { type: 'write', record: { holder: self, fencing: 1, ttlMs, renewal: writeId }, version }
   const isHolder = record.holder === self
-  const raise = isHolder && options.raise === true
+  const raise = isHolder && options.increaseFencing === true
   const dueAtMs = seenAtMs + record.ttlMs * (isHolder ? RENEW_AFTER_TTLS : TAKE_OVER_AFTER_TTLS)
   if (now < dueAtMs && !raise) return { type: 'wait', ms: dueAtMs - now }
   const fencing = isHolder && !raise ? record.fencing : record.fencing + 1
@@ -95,7 +95,7 @@
  *
  * This is only a hint. Engines that check fencing numbers have the final decision.
  */
-export function fencingNow (state: LeaseState, self: DaemonId, now: number): number | undefined {
+export function currentFencing (state: LeaseState, self: DaemonId, now: number): number | undefined {
   const { record, seenAtMs } = state
   return record?.holder === self && now < seenAtMs + record.ttlMs ? record.fencing : undefined
 }
--- a/core/lease/lease_test.ts
+++ b/core/lease/lease_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest'
 import { as, type DaemonId } from '../ids/index.ts'
-import { fencingNow, nextLeaseAction, NO_LEASE, released, seen, sending, type LeaseRecord, type LeaseState } from './index.ts'
+import { currentFencing, nextLeaseAction, NO_LEASE, released, recordRead, recordSent, type LeaseRecord, type LeaseState } from './index.ts'
 
 const A = as<DaemonId>('a')
 const B = as<DaemonId>('b')
@@ -9,27 +9,27 @@
 
 test('a renewal is valid from when it was sent, and a holder that stops renewing loses the lease after its time to live', () => {
   const record: LeaseRecord = { holder: A, fencing: 3, ttlMs: TTL_MS, renewal: 'x' }
-  const state = seen(sending(NO_LEASE, record, 100), { record, version: 1 }, { self: A, now: 700 })
-  expect([fencingNow(state, A, 1099), fencingNow(state, A, 1100), fencingNow(state, B, 500)]).toEqual([3, undefined, undefined])
+  const state = recordRead(recordSent(NO_LEASE, record, 100), { record, version: 1 }, { self: A, now: 700 })
+  expect([currentFencing(state, A, 1099), currentFencing(state, A, 1100), currentFencing(state, B, 500)]).toEqual([3, undefined, undefined])
 })
 
 test('an own record that the daemon does not remember sending gives it no right to act', () => {
   // Guards against two holders at once: the response to a renewal was lost, and its sender found the record much later and counted its validity from then.
   const record: LeaseRecord = { holder: A, fencing: 3, ttlMs: TTL_MS, renewal: 'x' }
-  expect(fencingNow(seen(NO_LEASE, { record, version: 1 }, { self: A, now: 700 }), A, 700)).toBeUndefined()
+  expect(currentFencing(recordRead(NO_LEASE, { record, version: 1 }, { self: A, now: 700 }), A, 700)).toBeUndefined()
 })
 
 test('a released lease is acquired at once, with a higher fencing number', () => {
   const record = released({ holder: A, fencing: 3, ttlMs: TTL_MS, renewal: 'x' }, 'y')
-  const state = seen(NO_LEASE, { record, version: 7 }, { self: B, now: 100 })
+  const state = recordRead(NO_LEASE, { record, version: 7 }, { self: B, now: 100 })
   expect(nextLeaseAction(state, { self: B, now: 100, ttlMs: TTL_MS, writeId: 'z' })).toMatchObject({ type: 'write', version: 7, record: { holder: B, fencing: 4 } })
 })
 
 test('a holder that raises its fencing number writes at once, and other daemons do not', () => {
   const record: LeaseRecord = { holder: A, fencing: 3, ttlMs: TTL_MS, renewal: 'x' }
-  const state = seen(sending(NO_LEASE, record, 100), { record, version: 1 }, { self: A, now: 100 })
-  expect(nextLeaseAction(state, { self: A, now: 100, ttlMs: TTL_MS, writeId: 'z', raise: true })).toMatchObject({ type: 'write', record: { holder: A, fencing: 4 } })
-  expect(nextLeaseAction(state, { self: B, now: 100, ttlMs: TTL_MS, writeId: 'z', raise: true })).toMatchObject({ type: 'wait' })
+  const state = recordRead(recordSent(NO_LEASE, record, 100), { record, version: 1 }, { self: A, now: 100 })
+  expect(nextLeaseAction(state, { self: A, now: 100, ttlMs: TTL_MS, writeId: 'z', increaseFencing: true })).toMatchObject({ type: 'write', record: { holder: A, fencing: 4 } })
+  expect(nextLeaseAction(state, { self: B, now: 100, ttlMs: TTL_MS, writeId: 'z', increaseFencing: true })).toMatchObject({ type: 'wait' })
 })
 
 /** A write in flight to the store, or its response on the way back. */
@@ -62,7 +62,7 @@
         if (visited.has(key)) continue
         visited.add(key)
         next.push(successor)
-        const numbers = successor.actors.map((state, i) => fencingNow(state, ACTORS[i]!, successor.nowMs))
+        const numbers = successor.actors.map((state, i) => currentFencing(state, ACTORS[i]!, successor.nowMs))
         if (numbers[0] !== undefined && numbers[1] !== undefined) doubleHolders++
         if (numbers[0] !== undefined && numbers[0] === numbers[1]) duplicateNumbers++
       }
@@ -75,9 +75,9 @@
 function * successors (system: SystemState, variant: Variant): Generator<SystemState> {
   yield { ...system, nowMs: system.nowMs + STEP_MS }
   for (let i = 0; i < ACTORS.length; i++) {
-    yield withActor(system, i, seen(system.actors[i]!, system.stored, { self: ACTORS[i]!, now: system.nowMs }))
+    yield withActor(system, i, recordRead(system.actors[i]!, system.stored, { self: ACTORS[i]!, now: system.nowMs }))
     const write = startWrite(system, i, variant)
-    if (write) yield { ...withActor(system, i, sending(system.actors[i]!, write.record, system.nowMs)), writes: [...system.writes, write], written: system.written + 1 }
+    if (write) yield { ...withActor(system, i, recordSent(system.actors[i]!, write.record, system.nowMs)), writes: [...system.writes, write], written: system.written + 1 }
   }
   for (const write of system.writes) {
     const others = system.writes.filter((other) => other !== write)
@@ -104,7 +104,7 @@
 }
 
 function deliverAnswer (system: SystemState, write: Write, variant: Variant): SystemState {
-  const state = seen(system.actors[write.actor]!, write.result, { self: ACTORS[write.actor]!, now: system.nowMs })
+  const state = recordRead(system.actors[write.actor]!, write.result, { self: ACTORS[write.actor]!, now: system.nowMs })
   const own = write.result?.record.renewal === write.record.renewal
   return withActor(system, write.actor, own && variant === 'counts from the answer' ? { ...state, seenAtMs: system.nowMs } : state)
 }
--- a/core/membership/derived.ts
+++ b/core/membership/derived.ts
@@ -7,7 +7,7 @@
  * grows with the size of the fleet.
  * @example `ranked.get(membership.version, () => rankedFor('quotas', membership.members, hash))`
  */
-export class Derived<T> {
+export class VersionedCache<T> {
   #version: number | undefined
   #value: T | undefined
 
--- a/core/membership/derived_test.ts
+++ b/core/membership/derived_test.ts
@@ -1,13 +1,13 @@
 import { expect, test } from 'vitest'
 import { as, type DaemonId, type FailureDomain } from '../ids/index.ts'
-import { Derived, Membership, type Member } from './index.ts'
+import { VersionedCache, Membership, type Member } from './index.ts'
 
 const member = (name: string, change: Partial<Member> = {}): Member => ({ id: as<DaemonId>(name), address: `${name}:1`, failureDomain: as<FailureDomain>('a'), incarnation: 1, state: 'up', revision: 0, heir: undefined, ...change })
 
 test('a cached value is recomputed after each change of a member record, and only then', () => {
   // Guards against quota requests to a daemon that has left: the cached quota keeper was not invalidated by the change of membership.
   const membership = new Membership({ self: member('self'), hash: (text) => text.length, now: 0 })
-  const names = new Derived<string[]>()
+  const names = new VersionedCache<string[]>()
   let computations = 0
   const upMembers = () => names.get(membership.version, () => {
     computations++
--- a/core/membership/detector.ts
+++ b/core/membership/detector.ts
@@ -1,15 +1,15 @@
 /** Failure detection from heartbeats. A suspicion is a hint for routing; it never authorizes a daemon to take over work. */
 
 /** Failure detector of one neighbour. Times are in milliseconds on the daemon's clock. */
-export interface Detector {
+export interface FailureDetector {
   /** Records a heartbeat. */
-  heard (now: number): void
+  recordHeartbeat (now: number): void
   /** Returns true if the neighbour has been silent for too long. */
-  suspects (now: number): boolean
+  isSuspect (now: number): boolean
 }
 
 /** Suspects a neighbour after a fixed period of silence. */
-export class TimeoutDetector implements Detector {
+export class TimeoutDetector implements FailureDetector {
   readonly #timeoutMs: number
   #lastHeartbeatMs: number
 
@@ -18,6 +18,6 @@
     this.#lastHeartbeatMs = now
   }
 
-  heard (now: number): void { this.#lastHeartbeatMs = now }
-  suspects (now: number): boolean { return now - this.#lastHeartbeatMs > this.#timeoutMs }
+  recordHeartbeat (now: number): void { this.#lastHeartbeatMs = now }
+  isSuspect (now: number): boolean { return now - this.#lastHeartbeatMs > this.#timeoutMs }
 }
--- a/core/membership/member.ts
+++ b/core/membership/member.ts
@@ -36,11 +36,11 @@
 }
 
 /** Returns true while a daemon accepts new work. */
-export function takesWork (member: Member): boolean {
+export function acceptsWork (member: Member): boolean {
   return member.state === 'up'
 }
 
 /** Returns true while a daemon can be asked for the answers that it holds. A suspect is included, since suspicion is only a hint. */
-export function mayAnswer (member: Member): boolean {
+export function isPresumedAlive (member: Member): boolean {
   return member.state === 'up' || member.state === 'draining' || member.state === 'suspect'
 }
--- a/core/membership/membership.ts
+++ b/core/membership/membership.ts
@@ -1,8 +1,8 @@
 /** Gossip membership as a state machine without I/O: (message, now) to effects. Sockets and timers belong to the daemon's membership task. */
 import type { DaemonId, FailureDomain } from '../ids/index.ts'
 import type { Hash32 } from '../routing/subset.ts'
-import { TimeoutDetector, type Detector } from './detector.ts'
-import { mayAnswer, supersedes, type Member, type MemberState } from './member.ts'
+import { TimeoutDetector, type FailureDetector } from './detector.ts'
+import { isPresumedAlive, supersedes, type Member, type MemberState } from './member.ts'
 import { neighbours } from './overlay.ts'
 
 /** Key-value entry that is gossiped to all daemons; the highest version of a key wins. */
@@ -39,7 +39,7 @@
   /** Start time in milliseconds on the daemon's clock. */
   now: number
   /** Creates the failure detector of a neighbour. Default: a timeout of {@linkcode SUSPECT_AFTER_MS}. */
-  detector?: (now: number) => Detector
+  detector?: (now: number) => FailureDetector
 }
 
 /** Interval between heartbeats to a neighbour, in milliseconds. */
@@ -65,7 +65,7 @@
   readonly #members = new Map<DaemonId, MemberEntry>()
   #version = 0
   readonly #facts = new Map<string, FactEntry>()
-  readonly #detectors = new Map<DaemonId, Detector>()
+  readonly #detectors = new Map<DaemonId, FailureDetector>()
   #successors: DaemonId[] = []
   #predecessors: DaemonId[] = []
   #ticks = 0
@@ -129,7 +129,7 @@
 
   /** Merges a message from another daemon. */
   receive (from: DaemonId, gossip: Gossip, now: number): MembershipEffect[] {
-    this.#detectors.get(from)?.heard(now)
+    this.#detectors.get(from)?.recordHeartbeat(now)
     const effects: MembershipEffect[] = []
     const livenessBefore = this.#livenessVersion
     const members = gossip.members.filter((member) => this.#mergeMember(member, now))
@@ -146,7 +146,7 @@
   }
 
   /** Handles a new connection to a neighbour: sends it the whole table, so that it catches up on messages lost while disconnected. */
-  linked (to: DaemonId): MembershipEffect[] {
+  handleLinkUp (to: DaemonId): MembershipEffect[] {
     return [{ type: 'send', to, gossip: { ...this.snapshot(), whole: false } }]
   }
 
@@ -171,7 +171,7 @@
     const known = this.#members.get(member.id)
     if (!supersedes(member, known?.member)) return false
     if (!known && (member.state === 'left' || member.state === 'gone') && member.heir === undefined) return false
-    if (mayAnswer(member) !== (known !== undefined && mayAnswer(known.member))) this.#livenessVersion++
+    if (isPresumedAlive(member) !== (known !== undefined && isPresumedAlive(known.member))) this.#livenessVersion++
     this.#setMember(member, now)
     return true
   }
@@ -193,7 +193,7 @@
     const demoted: Member[] = []
     for (const id of this.neighbours) {
       const known = this.#members.get(id)
-      if (known && mayAnswer(known.member) && known.member.state !== 'suspect' && this.#detectors.get(id)?.suspects(now)) {
+      if (known && isPresumedAlive(known.member) && known.member.state !== 'suspect' && this.#detectors.get(id)?.isSuspect(now)) {
         demoted.push({ ...known.member, state: 'suspect' })
       }
     }
@@ -215,7 +215,7 @@
   }
 
   #updateNeighbours (now: number): MembershipEffect[] {
-    const alive = this.members.filter(mayAnswer).map((member) => member.id)
+    const alive = this.members.filter(isPresumedAlive).map((member) => member.id)
     const next = neighbours(this.self.id, alive, { hash: this.#options.hash })
     const unchanged = next.successors.join() === this.#successors.join() && next.predecessors.join() === this.#predecessors.join()
     if (unchanged) return []
--- a/core/membership/membership_test.ts
+++ b/core/membership/membership_test.ts
@@ -43,7 +43,7 @@
   run(0, stopMs, paused)
   expect([...nodes.values()].filter((node) => node.self.id !== id('n3')).map((node) => node.member(id('n3'))!.state)).toEqual(Array(7).fill('gone'))
   run(stopMs, stopMs + 40_000, new Set())
-  for (const node of nodes.values()) deliver(nodes, node.self.id, node.linked(id('n3')), stopMs + 40_000)
+  for (const node of nodes.values()) deliver(nodes, node.self.id, node.handleLinkUp(id('n3')), stopMs + 40_000)
   expect(new Set([...nodes.values()].map((node) => node.member(id('n3'))!.state))).toEqual(new Set(['up']))
 })
 
--- a/core/once/claim.ts
+++ b/core/once/claim.ts
@@ -28,7 +28,7 @@
  *
  * If the outcome of a write was uncertain, the log may contain the claim itself: the same request id means that the write succeeded.
  */
-export function judge (claim: Claim, holder: Claim): ClaimResult {
+export function resolveClaim (claim: Claim, holder: Claim): ClaimResult {
   if (holder.request === claim.request) return { type: 'claimed' }
   return holder.body === claim.body ? { type: 'repeated', request: holder.request } : { type: 'other-body' }
 }
--- a/core/once/shard_head.ts
+++ b/core/once/shard_head.ts
@@ -15,9 +15,9 @@
 export interface ShardHead { recent: Claim[], segments: Segment[] }
 
 /** Number of claims at which the head is sealed; limits the size of a write. */
-export const SEAL_AT = 256
+export const SEAL_THRESHOLD = 256
 /** Number of small segments at which they are merged; limits the reads of a new owner. */
-export const MERGE_AT = 16
+export const MERGE_THRESHOLD = 16
 /** Number of claims from which a segment is not merged further; about 1 MB. */
 export const MAX_SEGMENT_CLAIMS = 6000
 
@@ -38,7 +38,7 @@
 /** Returns the segments to merge into one; empty if there are too few. */
 export function mergeable (head: ShardHead): Segment[] {
   const small = head.segments.filter((segment) => segment.count < MAX_SEGMENT_CLAIMS)
-  return small.length >= MERGE_AT ? small : []
+  return small.length >= MERGE_THRESHOLD ? small : []
 }
 
 /** Returns the head with segments replaced by one that contains all their claims. */
--- a/core/outcome/outcome.ts
+++ b/core/outcome/outcome.ts
@@ -57,12 +57,12 @@
 }
 
 /** Returns true if the endpoint itself reported the failure, which shows that it is alive. */
-export function isOwnWord (point: FailurePoint): boolean {
+export function isEndpointReported (point: FailurePoint): boolean {
   return point === 'endpoint-said-not-run' || point === 'endpoint-leaving' || point === 'endpoint-error'
 }
 
 /** Returns true if the connection ended in the middle of the attempt without an error response, as it does when the endpoint crashes. */
-export function isBrokenOff (point: FailurePoint): boolean {
+export function isConnectionAborted (point: FailurePoint): boolean {
   return point === 'reset-after-send' || point === 'torn-answer'
 }
 
--- a/core/request/lifecycle.ts
+++ b/core/request/lifecycle.ts
@@ -125,7 +125,7 @@
     mayHaveRun: state.mayHaveRun || !certainlyNotRun,
     avoid: state.endpoint === undefined ? state.avoid : [...state.avoid, state.endpoint]
   }
-  if (mayRepeat(state, msg.point) && msg.retryGranted) return place(updated, now)
+  if (canRetry(state, msg.point) && msg.retryGranted) return place(updated, now)
   return finish(updated, failureOutcome(updated), `endpoint failed: ${msg.point}`)
 }
 
@@ -134,13 +134,13 @@
  *
  * A non-idempotent request is retried only if the failed attempt certainly did not run; otherwise it could be executed twice.
  */
-export function mayRepeat (state: RequestState, point: FailurePoint): boolean {
+export function canRetry (state: RequestState, point: FailurePoint): boolean {
   const sent = state.sent + (reachedEndpoint(point) ? 1 : 0)
   return sent < state.traits.maxAttempts && (outcomeAt(point) === 'not-run' || state.traits.idempotent)
 }
 
 /** Returns true if a running stream may continue at another endpoint; the target counts towards `maxAttempts`. */
-export function mayMove (state: RequestState): boolean {
+export function canMove (state: RequestState): boolean {
   return state.phase === 'running' && state.traits.movable && state.sent + 2 <= state.traits.maxAttempts
 }
 
--- a/core/request/overdue.ts
+++ b/core/request/overdue.ts
@@ -1,12 +1,12 @@
 /** Detects stalled attempts from the pauses between pieces of an answer. */
 
 /** Progress of a running attempt. All times are in milliseconds on the same clock. */
-export interface AttemptPulse {
+export interface AttemptProgress {
   sentAtMs: number
   /** Predicted time to the first piece; undefined if there is no prediction. */
   predictedMs: number | undefined
   /** Arrival time of the last piece; undefined before the first piece. */
-  pieceAtMs: number | undefined
+  lastPieceAtMs: number | undefined
   /** Longest pause between two pieces so far. */
   longestPauseMs: number | undefined
 }
@@ -14,7 +14,7 @@
 /** Options of {@linkcode overdueAtMs}. */
 export interface OverdueOptions {
   /** Typical pause of the pool's streams; undefined if none was observed recently. */
-  usualPauseMs: number | undefined
+  typicalIntervalMs: number | undefined
 }
 
 /** Silence after which a stream is overdue, in multiples of its longest pause. A full batch makes pauses 1.4 times as long, a long prompt in the same batch 3 times. */
@@ -31,8 +31,8 @@
  * with a piece every 130 ms is overdue after about 800 ms, well before its caller gives up after 2 to 2.4 s.
  * @returns Milliseconds on the clock of the attempt's times.
  */
-export function overdueAtMs (attempt: AttemptPulse, { usualPauseMs = 0 }: OverdueOptions): number {
-  if (attempt.pieceAtMs === undefined) return attempt.sentAtMs + MIN_SILENCE_MS + OVERDUE_PREDICTIONS * (attempt.predictedMs ?? 0)
-  const pauseMs = Math.max(usualPauseMs, attempt.longestPauseMs ?? 0)
-  return attempt.pieceAtMs + Math.max(MIN_SILENCE_MS, OVERDUE_PAUSES * pauseMs)
+export function overdueAtMs (attempt: AttemptProgress, { typicalIntervalMs: typicalPauseMs = 0 }: OverdueOptions): number {
+  if (attempt.lastPieceAtMs === undefined) return attempt.sentAtMs + MIN_SILENCE_MS + OVERDUE_PREDICTIONS * (attempt.predictedMs ?? 0)
+  const pauseMs = Math.max(typicalPauseMs, attempt.longestPauseMs ?? 0)
+  return attempt.lastPieceAtMs + Math.max(MIN_SILENCE_MS, OVERDUE_PAUSES * pauseMs)
 }
--- a/core/routing/routing_test.ts
+++ b/core/routing/routing_test.ts
@@ -1,7 +1,7 @@
 import xxhash from 'xxhash-wasm'
 import { expect, test } from 'vitest'
 import { as, type EndpointId } from '../ids/index.ts'
-import { partsOf } from '../work/index.ts'
+import { splitPrompt } from '../work/index.ts'
 import { LeastLoadedRouter, noWork, PrefixIndex, subset, TargetRouter, type EndpointView, type RouteQuery } from './index.ts'
 
 const { h32 } = await xxhash()
@@ -62,7 +62,7 @@
 
 test('a prompt prefix is found at the endpoint that ran it, until the entry expires', () => {
   const index = new PrefixIndex({ expiresMs: 1000 })
-  const parts = (prompt: string) => partsOf(prompt, { hash, blockLength: 8 })
+  const parts = (prompt: string) => splitPrompt(prompt, { hash, blockLength: 8 })
   index.record(parts('shared--beginning-of-a'), id('a'), 0)
   expect(index.lookup(parts('shared--beginning-of-b'), 500).get(id('a'))).toBe(4)
   expect(index.lookup(parts('another-beginning-of-b'), 500).size).toBe(0)
--- a/core/tally/tally.ts
+++ b/core/tally/tally.ts
@@ -43,7 +43,7 @@
   }
 
   /** Returns the number of daemons with a known total for the key. */
-  tellers (key: string): number {
+  reporterCount (key: string): number {
     let count = 0
     for (const totals of this.#totals.values()) if (totals.has(key)) count++
     return count
--- a/core/usage/usage_ledger.ts
+++ b/core/usage/usage_ledger.ts
@@ -24,7 +24,7 @@
   }
 
   /** Records the start of a request, at a time of day in milliseconds since the epoch. */
-  began (account: AccountId, wallMs: number): void {
+  recordStart (account: AccountId, wallMs: number): void {
     this.#tally.add(formatKey(Math.floor(wallMs / this.#windowMs), account), 1)
   }
 
--- a/core/work/demand.ts
+++ b/core/work/demand.ts
@@ -44,7 +44,7 @@
  * The key of a block is the hash of the block and the key before it, so that each character of the prompt is hashed only once.
  * @example `splitPrompt('x'.repeat(1024), { hash })` gives two blocks of 128 tokens.
  */
-export function partsOf (prompt: string, options: SplitPromptOptions): PromptPart[] {
+export function splitPrompt (prompt: string, options: SplitPromptOptions): PromptPart[] {
   const length = options.blockLength ?? DEFAULT_BLOCK_LENGTH
   const parts: PromptPart[] = []
   let key = 0
--- a/core/work/work_class.ts
+++ b/core/work/work_class.ts
@@ -34,6 +34,6 @@
 const MAX_URGENT_DEADLINE_MS = 5000
 
 /** Returns true if the deadline of a class is short enough for it to be urgent by default. */
-export function isShort (latency: { deadlineMs: number }): boolean {
+export function isUrgentByDefault (latency: { deadlineMs: number }): boolean {
   return latency.deadlineMs <= MAX_URGENT_DEADLINE_MS
 }
--- a/daemon/config/config_follower.ts
+++ b/daemon/config/config_follower.ts
@@ -1,5 +1,5 @@
 /** Follows the configuration in the store and at the other daemons, and keeps the newest revision in force. */
-import { newest } from '../../core/config/revision.ts'
+import { newerRevision } from '../../core/config/revision.ts'
 import { problemsOf } from '../../core/config/validate.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
@@ -125,7 +125,7 @@
   }
 
   #putInForce (text: string, config: C, from: string): void {
-    if (newest(this.#inForce, config) !== config) return
+    if (newerRevision(this.#inForce, config) !== config) return
     const before = this.#inForce?.revision ?? 0
     this.#inForce = config
     this.#encoded = text
--- a/daemon/config/config_task.ts
+++ b/daemon/config/config_task.ts
@@ -1,8 +1,8 @@
 /** Keeps the newest accepted configuration in force on this daemon and accepts operators' changes to it. */
 import { randomUUID } from 'node:crypto'
 import {
-  configSchema, diff, InvalidError, nextAccepted, validate,
-  type Accepted, type Config, type FieldChange
+  configSchema, diff, InvalidError, nextRevision, validate,
+  type AcceptedConfig, type Config, type FieldChange
 } from '../../core/config/index.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
@@ -30,7 +30,7 @@
   /** Changes from the other operator's configuration to the refused one. */
   readonly difference: FieldChange[]
 
-  constructor (current: Accepted | undefined, wanted: Config) {
+  constructor (current: AcceptedConfig | undefined, wanted: Config) {
     const last = current?.changes.at(-1)
     super(`Cannot apply configuration: revision ${current?.revision ?? 0} by ${last?.operator ?? 'nobody'} came first`)
     this.revision = current?.revision ?? 0
@@ -51,23 +51,23 @@
 /** Follows the stored configuration and applies changes by conditional updates. */
 export class ConfigTask {
   readonly #options: ConfigTaskOptions
-  readonly #follower: ConfigFollower<Accepted>
+  readonly #follower: ConfigFollower<AcceptedConfig>
   #auditedRevision = 0
 
   constructor (options: ConfigTaskOptions) {
     this.#options = options
-    this.#follower = new ConfigFollower({ ...options, key: CONFIG_KEY, decode: (value) => (JSON.parse(value) as Marked<Accepted>).data })
+    this.#follower = new ConfigFollower({ ...options, key: CONFIG_KEY, decode: (value) => (JSON.parse(value) as Marked<AcceptedConfig>).data })
     this.#follower.onChange(() => this.#auditChanges())
   }
 
   /** The configuration in force; undefined until one is known. */
-  get inForce (): Accepted | undefined { return this.#follower.inForce }
+  get inForce (): AcceptedConfig | undefined { return this.#follower.inForce }
 
   /** True if the store has recently confirmed that no newer revision exists. */
   get sure (): boolean { return this.#follower.sure }
 
   /** Registers a listener for each new revision. */
-  onChange (listener: (accepted: Accepted) => void): void {
+  onChange (listener: (accepted: AcceptedConfig) => void): void {
     this.#follower.onChange(listener)
   }
 
@@ -88,7 +88,7 @@
    * @throws {ConfigConflictError} If another change was accepted first; nothing was changed.
    * @throws {ConfigUnsureError} If the outcome of the write is unknown because the store cannot be read back.
    */
-  async apply (value: unknown, options: { operator: string, base?: number }): Promise<Accepted> {
+  async apply (value: unknown, options: { operator: string, base?: number }): Promise<AcceptedConfig> {
     const id = randomUUID()
     try {
       const config = validate(configSchema, value, 'configuration')
@@ -105,22 +105,22 @@
     return { revision, daemons: alive.filter((member) => member.revision >= revision).length, of: alive.length }
   }
 
-  async #accept (config: Config, options: { id: string, operator: string, base?: number }): Promise<Accepted> {
+  async #accept (config: Config, options: { id: string, operator: string, base?: number }): Promise<AcceptedConfig> {
     const found = await this.#options.store.get(CONFIG_KEY)
     const current = found && parseAccepted(found)
     if (options.base !== undefined && options.base !== (current?.revision ?? 0)) throw new ConfigConflictError(current, config)
     const { id, operator } = options
-    const next = nextAccepted(current, config, { id, operator, atMs: Date.now() })
+    const next = nextRevision(current, config, { id, operator, atMs: Date.now() })
     const result = await this.#write(next, { id, version: found?.version ?? 0 })
     if (!result.applied) {
       if (result.found) this.#follower.adopt(result.found.value, 'store')
       throw new ConfigConflictError(result.data, config)
     }
-    this.#follower.adopt(JSON.stringify({ writeId: id, data: next } satisfies Marked<Accepted>), 'operator')
+    this.#follower.adopt(JSON.stringify({ writeId: id, data: next } satisfies Marked<AcceptedConfig>), 'operator')
     return next
   }
 
-  async #write (next: Accepted, options: { id: string, version: number }) {
+  async #write (next: AcceptedConfig, options: { id: string, version: number }) {
     try {
       return await writeSurely(this.#options.store, CONFIG_KEY, { writeId: options.id, data: next, version: options.version })
     } catch (err) {
@@ -144,6 +144,6 @@
   }
 }
 
-function parseAccepted (object: StoredObject): Accepted {
-  return (JSON.parse(object.value) as Marked<Accepted>).data
+function parseAccepted (object: StoredObject): AcceptedConfig {
+  return (JSON.parse(object.value) as Marked<AcceptedConfig>).data
 }
--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -30,7 +30,7 @@
 import { Reclaimer } from './endpoints/reclaimer.ts'
 import { seededRandom } from './seeded_random.ts'
 import type { Settings } from './settings.ts'
-import { classOf } from '../core/config/index.ts'
+import { toWorkClass } from '../core/config/index.ts'
 import { buildStatus, type StatusReport } from './status.ts'
 import { delay, steadyNow } from '../core/time/index.ts'
 
@@ -195,7 +195,7 @@
       open: broker.openCount,
       revision: inForce?.revision ?? 0,
       revisionSure: config.sure,
-      classes: inForce?.config.classes.map((cls) => classOf(cls, kinds.get(cls.pool) === 'model')) ?? []
+      classes: inForce?.config.classes.map((cls) => toWorkClass(cls, kinds.get(cls.pool) === 'model')) ?? []
     })
   }
 
--- a/daemon/duties/order_task.ts
+++ b/daemon/duties/order_task.ts
@@ -1,6 +1,6 @@
 /** Scales each pool to its load by ordering endpoints from the platform, on the daemon that holds the lease. */
 import type { Pool, Scaling } from '../../core/catalog/index.ts'
-import { EndpointDemand, SlotDemand, spreadPlan, type DomainFleet, type DomainMix, type EndpointsWanted } from '../../core/fleet/index.ts'
+import { EndpointDemand, SlotDemand, spreadPlan, type DomainFleet, type DomainMix, type EndpointTargets } from '../../core/fleet/index.ts'
 import { runningNow, type EndpointView } from '../../core/routing/index.ts'
 import type { EndpointVersion, FailureDomain, PoolName } from '../../core/ids/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
@@ -139,11 +139,11 @@
     const key = DEMAND_KEY_PREFIX + pool
     const msPerToken = this.#options.table.pace(pool)?.msPerToken
     if (msPerToken === undefined) return undefined
-    const counted = { tokens: tallies.tally.sum(key), tellers: tallies.tally.tellers(key), msPerToken }
+    const counted = { tokens: tallies.tally.sum(key), reporters: tallies.tally.reporterCount(key), msPerToken }
     const demand = this.#demand.get(pool) ?? this.#initialDemand(pool, counted.tokens)
     this.#demand.set(pool, demand)
-    if (demand.uncounted(steadyNow())) demand.assume(this.#options.allowedTokensPerS() * ASSUMED_QUOTA_FRACTION * msPerToken / MS_PER_S)
-    return { prefill: demand.engines(counted, steadyNow()), slots: this.#countSlots(pool) }
+    if (demand.isBootstrapping(steadyNow())) demand.setInitialEngines(this.#options.allowedTokensPerS() * ASSUMED_QUOTA_FRACTION * msPerToken / MS_PER_S)
+    return { prefill: demand.observe(counted, steadyNow()), slots: this.#countSlots(pool) }
   }
 
   #countSlots (pool: PoolName): number {
@@ -151,14 +151,14 @@
     const running = endpoints.reduce((sum, view) => sum + Math.min(runningNow(view), view.speed.batchSlots), 0)
     const demand = this.#slotDemand.get(pool) ?? new SlotDemand()
     this.#slotDemand.set(pool, demand)
-    return demand.engines({ running, slots: Math.max(...endpoints.map((view) => view.speed.batchSlots)) }, steadyNow())
+    return demand.observe({ running, slots: Math.max(...endpoints.map((view) => view.speed.batchSlots)) }, steadyNow())
   }
 
   #orderPool (pool: Pool, scaling: Scaling, demand: PoolDemand): void {
     const domains = [...scaling.pricePerS.keys()]
     const fleet = domains.map((domain) => this.#fleetOf(pool.name, domain))
     const wanted = endpointsWanted(demand, fleet)
-    this.#retryReclaimable(pool, scaling, { fleet, perDomain: Math.ceil(wanted.comfortably / domains.length) })
+    this.#retryReclaimable(pool, scaling, { fleet, perDomain: Math.ceil(wanted.withHeadroom / domains.length) })
     for (const mix of spreadPlan(wanted, scaling, fleet)) this.#orderMix(pool, scaling, this.#keepUntilSettled(pool.name, mix))
   }
 
@@ -169,7 +169,7 @@
    * daemon holds the lease.
    */
   #orderMissing (pool: Pool, scaling: Scaling, demand: PoolDemand): void {
-    const fleet = [...scaling.pricePerS.keys()].map((domain) => this.#fleetOf(pool.name, domain)).map((domain) => ({ ...domain, reclaimableToBeHad: false }))
+    const fleet = [...scaling.pricePerS.keys()].map((domain) => this.#fleetOf(pool.name, domain)).map((domain) => ({ ...domain, reclaimableAvailable: false }))
     for (const mix of spreadPlan(endpointsWanted(demand, fleet), scaling, fleet)) {
       const existing = fleet.find((domain) => domain.failureDomain === mix.failureDomain)!.onDemand
       const order = { pool: pool.name, failureDomain: mix.failureDomain, reclaimable: false, count: mix.onDemand }
@@ -184,7 +184,7 @@
    * endpoints that are needed and order them again shortly after.
    */
   #keepUntilSettled (pool: PoolName, mix: DomainMix): DomainMix {
-    if (this.#demand.get(pool)!.settled(steadyNow())) return mix
+    if (this.#demand.get(pool)!.isSettled(steadyNow())) return mix
     const existing = this.#fleetOf(pool, mix.failureDomain)
     return { ...mix, onDemand: Math.max(mix.onDemand, existing.onDemand), reclaimable: Math.max(mix.reclaimable, existing.reclaimable) }
   }
@@ -193,7 +193,7 @@
   #initialDemand (pool: PoolName, tokens: number): EndpointDemand {
     const idle = this.#options.firstStart === true && tokens === 0
     const existing = this.#options.table.all.filter((view) => view.pool === pool).length
-    return new EndpointDemand({ first: idle ? 0 : existing * TARGET_UTILIZATION, idle, now: steadyNow() })
+    return new EndpointDemand({ initialEngines: idle ? 0 : existing * TARGET_UTILIZATION, knownIdle: idle, now: steadyNow() })
   }
 
   /** Endpoints that serve the pool's regular traffic; those of a canary version do not count. */
@@ -203,7 +203,7 @@
     return {
       failureDomain,
       ...countByKind(staying),
-      reclaimableToBeHad: this.#lastOrders.get(orderKey({ pool, failureDomain, reclaimable: true }))?.unavailable !== true
+      reclaimableAvailable: this.#lastOrders.get(orderKey({ pool, failureDomain, reclaimable: true }))?.unavailable !== true
     }
   }
 
@@ -218,7 +218,7 @@
    * availability. Domains at their maximum are skipped for the same reason.
    */
   #retryReclaimable (pool: Pool, scaling: Scaling, target: { fleet: readonly DomainFleet[], perDomain: number }): void {
-    const unavailable = target.fleet.filter(({ reclaimableToBeHad, onDemand, reclaimable }) => !reclaimableToBeHad && onDemand + reclaimable < scaling.max)
+    const unavailable = target.fleet.filter(({ reclaimableAvailable, onDemand, reclaimable }) => !reclaimableAvailable && onDemand + reclaimable < scaling.max)
     const due = unavailable.some((domain) => this.#sinceLastOrderMs(pool.name, domain.failureDomain) > REFUSAL_BACKOFF_MS)
     if (!due) return
     for (const { failureDomain, onDemand, reclaimable } of unavailable) {
@@ -238,7 +238,7 @@
     const all = countByKind(this.#staying(pool.name, failureDomain))
     const order = { pool: pool.name, failureDomain }
     const count = (kind: EndpointKind) => this.#countWithOtherVersions(pool.name, { wanted: mix[kind], active: fleet[kind], all: all[kind], max: scaling.max })
-    if (fleet.reclaimableToBeHad) this.#orderIfDue({ ...order, reclaimable: true, count: count('reclaimable') }, { count: all.reclaimable, bootMs: scaling.bootMs })
+    if (fleet.reclaimableAvailable) this.#orderIfDue({ ...order, reclaimable: true, count: count('reclaimable') }, { count: all.reclaimable, bootMs: scaling.bootMs })
     this.#orderIfDue({ ...order, reclaimable: false, count: count('onDemand') }, { count: all.onDemand, bootMs: scaling.bootMs })
   }
 
@@ -286,7 +286,7 @@
   #isDue (order: EndpointOrder, current: { count: number, bootMs: number }): boolean {
     const last = this.#lastOrders.get(orderKey(order))
     // At startup the registry fills over several seconds; endpoints that are not listed yet are paid for nevertheless.
-    if (!last) return order.count !== current.count || this.#demand.get(order.pool)?.idle(steadyNow()) === true
+    if (!last) return order.count !== current.count || this.#demand.get(order.pool)?.isKnownIdle(steadyNow()) === true
     const sinceMs = steadyNow() - last.atMs
     if (last.result === 'refused') return order.count !== current.count && sinceMs > REFUSAL_BACKOFF_MS
     if (last.result === 'failed') return sinceMs > FAILURE_RETRY_MS
@@ -302,11 +302,11 @@
   return { onDemand: endpoints.length - reclaimable, reclaimable }
 }
 
-function endpointsWanted ({ prefill, slots }: PoolDemand, fleet: readonly DomainFleet[]): EndpointsWanted {
+function endpointsWanted ({ prefill, slots }: PoolDemand, fleet: readonly DomainFleet[]): EndpointTargets {
   return {
-    justEnough: Math.ceil(Math.max(prefill, slots / MAX_SLOT_UTILIZATION_WHILE_BOOTING)),
-    atLeast: Math.max(fleet.length, Math.ceil(prefill / MAX_UTILIZATION), Math.ceil(slots / MAX_SLOT_UTILIZATION)),
-    comfortably: Math.max(MIN_PER_DOMAIN * fleet.length, Math.ceil(prefill / TARGET_UTILIZATION), Math.ceil(slots / TARGET_SLOT_UTILIZATION))
+    minimum: Math.ceil(Math.max(prefill, slots / MAX_SLOT_UTILIZATION_WHILE_BOOTING)),
+    required: Math.max(fleet.length, Math.ceil(prefill / MAX_UTILIZATION), Math.ceil(slots / MAX_SLOT_UTILIZATION)),
+    withHeadroom: Math.max(MIN_PER_DOMAIN * fleet.length, Math.ceil(prefill / TARGET_UTILIZATION), Math.ceil(slots / TARGET_SLOT_UTILIZATION))
   }
 }
 
--- a/daemon/duties/usage_task.ts
+++ b/daemon/duties/usage_task.ts
@@ -51,7 +51,7 @@
 
   /** Counts a request of the account that started `agoMs` milliseconds ago. */
   began (account: AccountId, agoMs = 0): void {
-    this.#ledger.began(account, this.#wallMs() - agoMs)
+    this.#ledger.recordStart(account, this.#wallMs() - agoMs)
   }
 
   /** Starts periodic rounds; reports are sent only while this daemon holds the lease. */
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -1,7 +1,7 @@
 /** Composition root of the proxy daemon: builds and connects its components. */
 import { randomUUID } from 'node:crypto'
 import { asFunction, asValue, createContainer, InjectionMode } from 'awilix'
-import { allowedTokensPerS, RouteTable, Urgency, type Catalog } from '../../core/catalog/index.ts'
+import { totalTokenQuotaPerS, RouteTable, UrgencyClassifier, type Catalog } from '../../core/catalog/index.ts'
 import { as, type DaemonId, type EndpointId, type PoolName } from '../../core/ids/index.ts'
 import { WindowBudget, type RetryLimiter } from '../../core/retry/index.ts'
 import type { Hash64 } from '../../core/quarantine/index.ts'
@@ -188,7 +188,7 @@
       name: settings.name, store: platform.store, duties: platform.duties, lease, tallies, ...settings.usage
     })).singleton(),
     orders: asFunction(({ lease, table, tallies, metrics, config, rollouts }: ProxyComponents) => new OrderTask({
-      name: settings.name, duties: platform.duties, lease, table, tallies, metrics, versions: rollouts?.gate, firstStart: settings.firstStart, pools: () => config.inForce?.pools.values() ?? [], allowedTokensPerS: () => allowedTokensPerS(config.inForce?.accounts.values() ?? [])
+      name: settings.name, duties: platform.duties, lease, table, tallies, metrics, versions: rollouts?.gate, firstStart: settings.firstStart, pools: () => config.inForce?.pools.values() ?? [], allowedTokensPerS: () => totalTokenQuotaPerS(config.inForce?.accounts.values() ?? [])
     })).singleton()
   })
   const components = container.cradle
@@ -283,6 +283,6 @@
 
 function catalogIndex (config: ConfigFollower<Catalog>): () => CatalogIndex | undefined {
   let index: CatalogIndex | undefined
-  config.onChange(({ routes, accounts, pools }) => { index = { routes: new RouteTable(routes), urgency: new Urgency(routes), accounts, pools } })
+  config.onChange(({ routes, accounts, pools }) => { index = { routes: new RouteTable(routes), urgency: new UrgencyClassifier(routes), accounts, pools } })
   return () => index
 }
--- a/daemon/exchange/intake.ts
+++ b/daemon/exchange/intake.ts
@@ -1,5 +1,5 @@
 /** Admission of proxied requests: finds route and account, charges the quota and creates the request's task. */
-import type { Account, Pool, PoolShare, Route, RouteTable, Urgency } from '../../core/catalog/index.ts'
+import type { Account, Pool, PoolShare, Route, RouteTable, UrgencyClassifier } from '../../core/catalog/index.ts'
 import { as, type AccountId, type Fingerprint, type PoolName } from '../../core/ids/index.ts'
 import { fingerprintOf, type Hash64 } from '../../core/quarantine/index.ts'
 import type { RetryLimiter } from '../../core/retry/index.ts'
@@ -22,7 +22,7 @@
 /** The catalog in force, indexed for lookup. */
 export interface CatalogIndex {
   routes: RouteTable
-  urgency: Urgency
+  urgency: UrgencyClassifier
   accounts: ReadonlyMap<string, Account>
   pools: ReadonlyMap<PoolName, Pool>
 }
@@ -85,7 +85,7 @@
     const askedAtMs = steadyNow()
     const charge = await this.#charge(account, route, req)
     if (account) this.#options.metrics.quotaWait.observe(steadyNow() - askedAtMs)
-    const cls = this.#options.catalog()!.urgency.classOf(route, account)
+    const cls = this.#options.catalog()!.urgency.classify(route, account)
     const pool = pickShare(route.pools, this.#options.random).pool
     const { client, dialect, table, dispatcher, metrics, crashes, quarantine, answers } = this.#options
     const budget = this.#options.budgetOf(pool)
--- a/daemon/fleet/fleet_task.ts
+++ b/daemon/fleet/fleet_task.ts
@@ -1,7 +1,7 @@
 /** Scales the hosts of one pool to its load: plans, starts, drains and stops hosts while this daemon holds the pool's lease. */
 import { randomUUID } from 'node:crypto'
 import type { Config } from '../../core/config/index.ts'
-import { hostsNeeded, MixPlanner, ReclaimRisk, ScaleDown, type FleetPlanner, type Holding, type Offer } from '../../core/fleet/index.ts'
+import { hostsNeeded, MixPlanner, ReclaimRisk, ScaleDownWindow, type FleetPlanner, type Holding, type Offer } from '../../core/fleet/index.ts'
 import type { DaemonId, FailureDomain, HostId, PoolName } from '../../core/ids/index.ts'
 import { AttemptError } from '../../core/outcome/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
@@ -48,7 +48,7 @@
   readonly #options: FleetTaskOptions
   readonly #planner: FleetPlanner
   readonly #reclaimRisk = new ReclaimRisk(steadyNow())
-  readonly #scaleDown = new ScaleDown()
+  readonly #scaleDown = new ScaleDownWindow()
   readonly #refusedUntilMs = new Map<FailureDomain, number>()
   readonly #drainStartedAtMs = new Map<HostId, number>()
   /** Hosts that were started but are not listed yet. */
@@ -61,7 +61,7 @@
 
   /** Records a reclaim notice, from which the reclaim risk of the failure domain is estimated. */
   recordReclaim (domain: FailureDomain): void {
-    this.#reclaimRisk.reclaimed(domain)
+    this.#reclaimRisk.recordReclaim(domain)
   }
 
   /** Runs one round; does nothing without the lease. */
@@ -119,7 +119,7 @@
 
   #offerOf ({ failureDomain, reclaimable, pricePerHour }: Pick<CloudOffer, 'failureDomain' | 'reclaimable' | 'pricePerHour'>, now: number): Offer {
     const available = !reclaimable || (this.#refusedUntilMs.get(failureDomain) ?? 0) <= now
-    return { failureDomain, reclaimable, pricePerHour, wavesPerDay: reclaimable ? this.#reclaimRisk.perDay(failureDomain, now) : 0, available }
+    return { failureDomain, reclaimable, pricePerHour, reclaimsPerDay: reclaimable ? this.#reclaimRisk.perDay(failureDomain, now) : 0, available }
   }
 
   /** Starts missing hosts. Booting hosts count as present: the cloud lists a host minutes after its start, and each round until then would start another. */
--- a/daemon/fleet/lease_task.ts
+++ b/daemon/fleet/lease_task.ts
@@ -1,7 +1,7 @@
 /** Acquires and renews a lease stored in the object store. */
 import { randomUUID } from 'node:crypto'
 import type { DaemonId } from '../../core/ids/index.ts'
-import { fencingNow, nextLeaseAction, NO_LEASE, released, seen, sending, type LeaseRecord, type LeaseState } from '../../core/lease/index.ts'
+import { currentFencing, nextLeaseAction, NO_LEASE, released, recordRead, recordSent, type LeaseRecord, type LeaseState } from '../../core/lease/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import { StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
 import { log } from '../log/index.ts'
@@ -103,7 +103,7 @@
   get fencing (): number | undefined {
     const now = steadyNow()
     if (Math.abs(clockOffsetMs() - this.#clockOffsetMs) > MAX_CLOCK_DIVERGENCE_MS || now < this.#notBeforeMs) return undefined
-    const fencing = fencingNow(this.#state, this.#options.self, now)
+    const fencing = currentFencing(this.#state, this.#options.self, now)
     if (fencing !== undefined) this.#lastActiveAtMs = now
     return fencing
   }
@@ -168,7 +168,7 @@
       if (!this.#hasCurrentRecord) await this.#rereadOnFailure(() => this.#read())
       this.#hasCurrentRecord = true
       const ttlMs = this.#options.ttlMs ?? DEFAULT_TTL_MS
-      const action = nextLeaseAction(this.#state, { self, now: steadyNow(), ttlMs, writeId: randomUUID(), raise: this.#raiseRequested })
+      const action = nextLeaseAction(this.#state, { self, now: steadyNow(), ttlMs, writeId: randomUUID(), increaseFencing: this.#raiseRequested })
       if (action.type === 'write') await this.#rereadOnFailure(() => this.#write(action.record, action.version))
       else await this.#waitAndRead(action.ms)
     }
@@ -219,7 +219,7 @@
   }
 
   async #write (record: LeaseRecord, version: number): Promise<void> {
-    this.#state = sending(this.#state, record, steadyNow())
+    this.#state = recordSent(this.#state, record, steadyNow())
     const offsetMs = clockOffsetMs()
     const result = await writeSurely(this.#options.store, this.#key, { writeId: record.renewal, data: record, version })
     if (!result.applied) return this.#observe(result.found && result.data ? { record: result.data, version: result.found.version } : undefined)
@@ -232,7 +232,7 @@
   #observe (found: { record: LeaseRecord, version: number } | undefined): void {
     const { self } = this.#options
     const before = this.#state.record
-    this.#state = seen(this.#state, found, { self, now: steadyNow() })
+    this.#state = recordRead(this.#state, found, { self, now: steadyNow() })
     const { record } = this.#state
     if (!record || record.fencing === before?.fencing) return
     if (record.holder === self && before && before.holder !== self) this.#notBeforeMs = this.#lastActiveAtMs + (this.#options.apartMs ?? 0)
--- a/daemon/once/shard_log.ts
+++ b/daemon/once/shard_log.ts
@@ -1,7 +1,7 @@
 /** Writes one shard of the claim log. Claims are collected briefly and written in one conditional update. */
 import { randomUUID } from 'node:crypto'
 import {
-  EMPTY_HEAD, MERGE_AT, SEAL_AT, append, dropOld, judge, merge, mergeable, newestMs, seal,
+  EMPTY_HEAD, MERGE_THRESHOLD, SEAL_THRESHOLD, append, dropOld, resolveClaim, merge, mergeable, newestMs, seal,
   type Claim, type ClaimResult, type KeyHash, type Segment, type ShardHead
 } from '../../core/once/index.ts'
 import { isStoreFailure, StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
@@ -90,7 +90,7 @@
     const now = steadyNow()
     this.#pending = this.#pending.filter((pending) => {
       const holder = this.#version === undefined ? undefined : this.#claims.get(pending.claim.key)
-      if (holder) pending.resolve(judge(pending.claim, holder))
+      if (holder) pending.resolve(resolveClaim(pending.claim, holder))
       else if (pending.expiresAtMs <= now) pending.reject(new ClaimError('Cannot claim key: the store did not answer in time'))
       else return true
       return false
@@ -200,9 +200,9 @@
   }
 
   async #compact (): Promise<void> {
-    if (this.#head.recent.length >= SEAL_AT) await this.#seal()
+    if (this.#head.recent.length >= SEAL_THRESHOLD) await this.#seal()
     const small = mergeable(this.#head)
-    if (small.length >= MERGE_AT) await this.#merge(small)
+    if (small.length >= MERGE_THRESHOLD) await this.#merge(small)
     await this.#dropOld()
   }
 
--- a/daemon/once/shard_log_test.ts
+++ b/daemon/once/shard_log_test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { as, type RequestId } from '../../core/ids/index.ts'
-import { SEAL_AT, type Claim, type ClaimResult, type KeyHash } from '../../core/once/index.ts'
+import { SEAL_THRESHOLD, type Claim, type ClaimResult, type KeyHash } from '../../core/once/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import { StandInStore } from '../../standins/index.ts'
 import { ClaimError, ShardLog } from './shard_log.ts'
@@ -43,7 +43,7 @@
   const paused = new ShardLog({ store, shard: 0 })
   await valueOf(paused.claim(claimOf('first', 'a~1'), steadyNow() + LONG_MS))
   const other = new ShardLog({ store, shard: 0, intervalMs: 1 })
-  for (let i = 0; i <= SEAL_AT; i++) await valueOf(other.claim(claimOf(`k${i}`, `b~${i}`), steadyNow() + LONG_MS))
+  for (let i = 0; i <= SEAL_THRESHOLD; i++) await valueOf(other.claim(claimOf(`k${i}`, `b~${i}`), steadyNow() + LONG_MS))
   expect(await valueOf(paused.claim(claimOf('k7', 'a~2'), steadyNow() + LONG_MS))).toEqual({ type: 'repeated', request: 'b~7' })
 })
 
@@ -93,7 +93,7 @@
   const store = new StandInStore()
   const log = new ShardLog({ store, shard: 0, intervalMs: 0, keptMs: 24 * 3_600_000 })
   for (let batch = 0; batch < 20; batch++) {
-    await settle(...Array.from({ length: SEAL_AT }, (_, i) => log.claim(claimOf(`k${batch}.${i}`, `a~${batch}.${i}`), steadyNow() + LONG_MS)))
+    await settle(...Array.from({ length: SEAL_THRESHOLD }, (_, i) => log.claim(claimOf(`k${batch}.${i}`, `a~${batch}.${i}`), steadyNow() + LONG_MS)))
   }
   const next = new ShardLog({ store, shard: 0, keptMs: 24 * 3_600_000 })
   for (const key of ['0.0', '10.99', '19.255']) {
--- a/daemon/peers/fleet_size.ts
+++ b/daemon/peers/fleet_size.ts
@@ -1,5 +1,5 @@
 /** Estimates how many hosts run a daemon, including those that are currently unreachable. */
-import { mayAnswer } from '../../core/membership/index.ts'
+import { isPresumedAlive } from '../../core/membership/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { MembershipTask } from './membership_task.ts'
 
@@ -37,7 +37,7 @@
 
   #count (now: number): number {
     const { members } = this.#membership.core
-    const alive = members.filter(mayAnswer)
+    const alive = members.filter(isPresumedAlive)
     for (const { address } of alive) this.#lastSeenAtMs.set(address, now)
     for (const { address, state } of members) {
       if (state === 'left' && !alive.some((other) => other.address === address)) this.#lastSeenAtMs.delete(address)
--- a/daemon/peers/membership_task.ts
+++ b/daemon/peers/membership_task.ts
@@ -1,6 +1,6 @@
 /** Runs the membership protocol over the links between daemons. */
 import type { DaemonId, FailureDomain } from '../../core/ids/index.ts'
-import { Derived, HEARTBEAT_MS, Membership, mayAnswer, rankedFor, takesWork, type Fact, type Gossip, type Member, type MemberState, type MembershipEffect } from '../../core/membership/index.ts'
+import { VersionedCache, HEARTBEAT_MS, Membership, isPresumedAlive, rankedFor, acceptsWork, type Fact, type Gossip, type Member, type MemberState, type MembershipEffect } from '../../core/membership/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import { isStoreFailure, StoreError, type ObjectStore } from '../../store/index.ts'
@@ -66,9 +66,9 @@
   /** Last logged state of each live daemon: records also change in fields that are not logged. */
   readonly #loggedStates = new Map<DaemonId, MemberState>()
   #noPeersKnown = false
-  readonly #working = new Derived<readonly Member[]>()
-  readonly #reachable = new Derived<readonly Member[]>()
-  readonly #ranked = new Map<string, Derived<readonly Member[]>>()
+  readonly #working = new VersionedCache<readonly Member[]>()
+  readonly #reachable = new VersionedCache<readonly Member[]>()
+  readonly #ranked = new Map<string, VersionedCache<readonly Member[]>>()
 
   constructor (options: MembershipTaskOptions) {
     this.#options = options
@@ -80,7 +80,7 @@
         this.#applyEffects(this.core.receive(from, gossip, steadyNow()))
       },
       onLink: (to) => {
-        this.#applyEffects(this.core.linked(to))
+        this.#applyEffects(this.core.handleLinkUp(to))
         for (const listener of this.#linkListeners) listener(to)
       }
     })
@@ -99,16 +99,16 @@
   get joined (): boolean { return this.#joined || this.#noPeersKnown }
 
   /** Daemons that accept new work, including this one unless it is draining. */
-  get working (): readonly Member[] { return this.#working.get(this.core.version, () => this.core.members.filter(takesWork)) }
+  get working (): readonly Member[] { return this.#working.get(this.core.version, () => this.core.members.filter(acceptsWork)) }
 
   /** Daemons that can presumably be reached: up, draining or suspect. */
-  get reachable (): readonly Member[] { return this.#reachable.get(this.core.version, () => this.core.members.filter(mayAnswer)) }
+  get reachable (): readonly Member[] { return this.#reachable.get(this.core.version, () => this.core.members.filter(isPresumedAlive)) }
 
   /** Candidates for a fleet-wide job, in order of preference; draining daemons are excluded. */
   rankedFor (job: string): readonly Member[] {
     let ranked = this.#ranked.get(job)
     if (!ranked) {
-      ranked = new Derived()
+      ranked = new VersionedCache()
       this.#ranked.set(job, ranked)
     }
     return ranked.get(this.core.version, () => rankedFor(job, this.reachable.filter((member) => member.state !== 'draining'), this.#options.hash))
@@ -157,8 +157,8 @@
   /** Follows the chain of heirs to the first reachable daemon; undefined when there is none. */
   holderOf (id: DaemonId): Member | undefined {
     let member = this.core.member(id)
-    for (let hops = 0; member && !mayAnswer(member) && member.heir !== undefined && hops < 8; hops++) member = this.core.member(member.heir)
-    return member && mayAnswer(member) ? member : undefined
+    for (let hops = 0; member && !isPresumedAlive(member) && member.heir !== undefined && hops < 8; hops++) member = this.core.member(member.heir)
+    return member && isPresumedAlive(member) ? member : undefined
   }
 
   /**
@@ -236,12 +236,12 @@
     const probed = gone[Math.floor(this.#options.random() * gone.length)]
     if (!probed) return
     this.#keepLinks(this.#successors, probed)
-    this.#applyEffects(this.core.linked(probed.id))
+    this.#applyEffects(this.core.handleLinkUp(probed.id))
   }
 
   #onMemberChange (member: Member): void {
     if (this.#loggedStates.get(member.id) !== member.state) log('member-changed', { peer: member.id, state: member.state })
-    if (mayAnswer(member)) this.#loggedStates.set(member.id, member.state)
+    if (isPresumedAlive(member)) this.#loggedStates.set(member.id, member.state)
     else this.#loggedStates.delete(member.id)
     for (const listener of this.#memberListeners) listener(member)
   }
--- a/daemon/quarantine/crash_watch.ts
+++ b/daemon/quarantine/crash_watch.ts
@@ -1,6 +1,6 @@
 /** Detects endpoint crashes, and which of this daemon's requests were in flight there. */
 import type { EndpointId, Fingerprint } from '../../core/ids/index.ts'
-import { isBrokenOff, type FailurePoint } from '../../core/outcome/index.ts'
+import { isConnectionAborted, type FailurePoint } from '../../core/outcome/index.ts'
 import type { EndpointView } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { DialResult } from '../../endpoints/index.ts'
@@ -64,7 +64,7 @@
   failed (endpoint: { id: EndpointId, view: EndpointView | undefined }, point: FailurePoint, request: () => Fingerprint): void {
     const { id, view } = endpoint
     if (point === 'connect-refused' || point === 'endpoint-gone') this.gone(id)
-    else if (view && isBrokenOff(point)) this.lost(view, request())
+    else if (view && isConnectionAborted(point)) this.lost(view, request())
     else if (view && point === 'timeout-after-send') this.gaveUp(view, request())
   }
 
--- a/daemon/request/broker.ts
+++ b/daemon/request/broker.ts
@@ -5,8 +5,8 @@
 import { delay } from '../../core/time/index.ts'
 import { RetryBudget } from '../../core/retry/index.ts'
 import type { EndpointView, Hash32 } from '../../core/routing/index.ts'
-import { classOf, type ClassConfig, type Config } from '../../core/config/index.ts'
-import { estimateTokens, NO_TOKENS, partsOf, type Demand } from '../../core/work/index.ts'
+import { toWorkClass, type ClassConfig, type Config } from '../../core/config/index.ts'
+import { estimateTokens, NO_TOKENS, splitPrompt, type Demand } from '../../core/work/index.ts'
 import type { ModelEngine, PlainService } from '../../endpoints/index.ts'
 import { fingerprintOf, type Hash64 } from '../../core/quarantine/index.ts'
 import { claimOf, type Claims } from '../once/claims.ts'
@@ -223,7 +223,7 @@
     const work = {
       id,
       account,
-      cls: classOf(cls, model),
+      cls: toWorkClass(cls, model),
       pool: as<PoolName>(cls.pool),
       demand: model ? this.#demandOf(input, maxTokens) : NO_TOKENS,
       claim: options.claim,
@@ -235,7 +235,7 @@
   }
 
   #demandOf (input: string, maxTokens: number): Demand {
-    return { promptTokens: estimateTokens(input), maxTokens, expectedTokens: maxTokens, parts: partsOf(input, { hash: this.#options.hash }) }
+    return { promptTokens: estimateTokens(input), maxTokens, expectedTokens: maxTokens, parts: splitPrompt(input, { hash: this.#options.hash }) }
   }
 
   #classOf (submission: Submission): { cls: ClassConfig, model: boolean } {
--- a/daemon/request/dispatcher.ts
+++ b/daemon/request/dispatcher.ts
@@ -1,5 +1,5 @@
 /** Assigns requests to endpoints and queues those that no endpoint has room for. */
-import { FairQueue, type Waiting, type WorkQueue } from '../../core/admission/index.ts'
+import { FairQueue, type QueuedRequest, type RequestQueue } from '../../core/admission/index.ts'
 import { isStartOf, type AccountId, type EndpointId, type PoolName } from '../../core/ids/index.ts'
 import { runningNow, type EndpointView, type PrefixIndex, type Route, type Router } from '../../core/routing/index.ts'
 import type { Demand, PromptPart, WorkClass } from '../../core/work/index.ts'
@@ -47,7 +47,7 @@
   /** Selects requests for canary endpoints. Default: no version is on trial. */
   canaries?: CanaryGate
   /** Creates the queue of a pool. Default: {@linkcode FairQueue}. */
-  queue?: () => WorkQueue<Placement>
+  queue?: () => RequestQueue<Placement>
 }
 
 /**
@@ -73,7 +73,7 @@
 
 /** Endpoints to choose from, and the number of prompt tokens that each is expected to have cached. */
 interface CandidateSet { candidates: readonly EndpointView[], cached: Map<EndpointId, number> }
-interface PoolState { queue: WorkQueue<Placement>, msPerStart: number, lastStartMs: number }
+interface PoolState { queue: RequestQueue<Placement>, msPerStart: number, lastStartMs: number }
 
 /** Routes placements to endpoints, with one queue per pool. */
 export class Dispatcher {
@@ -243,6 +243,6 @@
   pool.lastStartMs = now
 }
 
-function findEntry (queue: WorkQueue<Placement>, placement: Placement): Waiting<Placement> | undefined {
+function findEntry (queue: RequestQueue<Placement>, placement: Placement): QueuedRequest<Placement> | undefined {
   return queue.find((entry) => entry.item === placement)
 }
--- a/daemon/request/dispatcher_test.ts
+++ b/daemon/request/dispatcher_test.ts
@@ -3,7 +3,7 @@
 import { as, endpointId, type DaemonId, type EndpointId, type EndpointVersion, type FailureDomain, type HostId, type PoolName } from '../../core/ids/index.ts'
 import { NO_TOKENS } from '../../core/work/index.ts'
 import { sessionConfig } from '../../bench/_session.ts'
-import { classOf } from '../../core/config/index.ts'
+import { toWorkClass } from '../../core/config/index.ts'
 import type { ListedHost } from '../../endpoints/index.ts'
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
 import { seededRandom } from '../seeded_random.ts'
@@ -23,7 +23,7 @@
 function placement (change: Partial<Placement>): Placement {
   return {
     account: as('account'),
-    cls: classOf(sessionConfig().classes[2]!, false),
+    cls: toWorkClass(sessionConfig().classes[2]!, false),
     pool: POOL,
     demand: NO_TOKENS,
     doneTokens: 0,
--- a/daemon/request/endpoint_charge.ts
+++ b/daemon/request/endpoint_charge.ts
@@ -1,6 +1,6 @@
 /** Accounts for one request in the endpoint table. */
 import type { EndpointId } from '../../core/ids/index.ts'
-import type { AttemptPulse } from '../../core/request/index.ts'
+import type { AttemptProgress } from '../../core/request/index.ts'
 import type { Route } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable, SentWork } from '../endpoints/endpoint_table.ts'
@@ -35,9 +35,9 @@
   get sentAtMs (): number | undefined { return this.#sent?.atMs }
 
   /** Progress of the current attempt; undefined if there is none. */
-  get progress (): AttemptPulse | undefined {
+  get progress (): AttemptProgress | undefined {
     const sent = this.#sent
-    return sent && { sentAtMs: sent.atMs, predictedMs: sent.predicted?.firstTokenMs, pieceAtMs: sent.pieces.lastAtMs, longestPauseMs: sent.pieces.longestPauseMs }
+    return sent && { sentAtMs: sent.atMs, predictedMs: sent.predicted?.firstTokenMs, lastPieceAtMs: sent.pieces.lastAtMs, longestPauseMs: sent.pieces.longestPauseMs }
   }
 
   /** Records that an attempt was sent. */
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -1,8 +1,8 @@
 /** Drives one request: executes the effects of the core's state machine and feeds events back to it. */
 import { AnswerBuffer, type AnswerBufferOptions, type AnswerHead, type WholeAnswer } from '../../core/answer/index.ts'
 import type { EndpointId, EndpointVersion, PoolName, RequestId } from '../../core/ids/index.ts'
-import { AttemptError, isBrokenOff, isOwnWord, outcomeAt, reachedEndpoint, type FailurePoint } from '../../core/outcome/index.ts'
-import { mayMove, mayRepeat, newRequest, step, type AttemptPulse, type RequestEffect, type RequestMessage, type RequestState, type StartMode } from '../../core/request/index.ts'
+import { AttemptError, isConnectionAborted, isEndpointReported, outcomeAt, reachedEndpoint, type FailurePoint } from '../../core/outcome/index.ts'
+import { canMove, canRetry, newRequest, step, type AttemptProgress, type RequestEffect, type RequestMessage, type RequestState, type StartMode } from '../../core/request/index.ts'
 import type { EndpointView, Route } from '../../core/routing/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { Attachment, AttemptRunner, AttemptSink } from '../../endpoints/index.ts'
@@ -98,7 +98,7 @@
   get runningAt (): EndpointId | undefined { return this.lifecycle.phase === 'running' ? this.lifecycle.endpoint : undefined }
 
   /** Progress of the running attempt; undefined while none runs. */
-  get progress (): AttemptPulse | undefined { return this.lifecycle.phase === 'running' ? this.#tracker.progress : undefined }
+  get progress (): AttemptProgress | undefined { return this.lifecycle.phase === 'running' ? this.#tracker.progress : undefined }
 
   /**
    * Handles a running attempt that has gone silent: retries it at another endpoint, or keeps waiting if a retry isn't allowed or no other endpoint is usable.
@@ -108,7 +108,7 @@
   handleStall (): void {
     const { attempt, endpoint } = this.lifecycle
     const { table, budget } = this.ports
-    if (endpoint === undefined || !this.mayRetryElsewhere || !mayRepeat(this.lifecycle, 'timeout-after-send')) return
+    if (endpoint === undefined || !this.mayRetryElsewhere || !canRetry(this.lifecycle, 'timeout-after-send')) return
     const now = steadyNow()
     const elsewhere = table.candidates(this.work.pool).some((view) => view.id !== endpoint && view.ejectedUntilMs <= now)
     if (!elsewhere || !budget.tryWithdraw(table.isGone(endpoint))) return
@@ -120,7 +120,7 @@
   /** Moves a resumable stream to another endpoint if its current one runs a version that must receive no more work. */
   leaveVersion (pool: PoolName, version: EndpointVersion): void {
     const view = this.runningAt && this.ports.table.get(this.runningAt)
-    if (view?.pool === pool && view.version === version && mayMove(this.lifecycle)) this.post({ type: 'hold' })
+    if (view?.pool === pool && view.version === version && canMove(this.lifecycle)) this.post({ type: 'hold' })
   }
 
   /** Calls the listener after each change. The caller counts as gone once the last listener is removed. */
@@ -228,7 +228,7 @@
   /** Must be called when the set of quarantined requests changes. Ends this request if it is now quarantined and no endpoint has begun to answer it. */
   quarantineChanged (): void {
     const { phase } = this.lifecycle
-    if (phase === 'placing' || (phase === 'running' && this.progress?.pieceAtMs === undefined)) this.#refuseIfQuarantined()
+    if (phase === 'placing' || (phase === 'running' && this.progress?.lastPieceAtMs === undefined)) this.#refuseIfQuarantined()
   }
 
   #refuseIfQuarantined (): boolean {
@@ -337,10 +337,10 @@
     if (attempt !== this.lifecycle.attempt || this.lifecycle.phase !== 'running') return
     const { table } = this.ports
     const view = table.get(endpoint)
-    if (isOwnWord(err.point)) table.heard(endpoint)
+    if (isEndpointReported(err.point)) table.heard(endpoint)
     if (err.point === 'endpoint-leaving' && view) table.leaving([view.hostId], steadyNow() + ASSUMED_NOTICE_MS, 'refusal')
     // Spends from the budget only if the request could use the retry.
-    const repeatable = this.mayRetryElsewhere && mayRepeat(this.lifecycle, err.point)
+    const repeatable = this.mayRetryElsewhere && canRetry(this.lifecycle, err.point)
     const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.tryWithdraw(table.isGone(endpoint)))
     this.ports.crashes.failed({ id: endpoint, view }, err.point, this.work.fingerprint)
     if (view && err.point === 'endpoint-error') this.ports.answers?.failed(view, this.work.cls.name)
@@ -370,7 +370,7 @@
       afterMs: steadyNow() - (this.#tracker.sentAtMs ?? this.acceptedAtMs),
       pieces: this.answer.length,
       endpointLeaving: table.isGone(endpoint),
-      ...(isBrokenOff(err.point) && { fingerprint: this.work.fingerprint() }),
+      ...(isConnectionAborted(err.point) && { fingerprint: this.work.fingerprint() }),
       repeat
     })
     if (!retryGranted) metrics.retriesDenied.inc({ class: metrics.labelOf(this.work.cls.name) })
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { as, type EndpointId, type Fingerprint } from '../../core/ids/index.ts'
-import { classOf } from '../../core/config/index.ts'
+import { toWorkClass } from '../../core/config/index.ts'
 import { noWork, type EndpointView, type Route } from '../../core/routing/index.ts'
 import { NO_TOKENS } from '../../core/work/index.ts'
 import { sessionConfig } from '../../bench/_session.ts'
@@ -30,7 +30,7 @@
   const table = new EndpointTable({ self: as('d'), hash: (text) => text.length })
   table.listed([{ hostId: VIEW.hostId, hostClass: 'any', failureDomain: VIEW.failureDomain, reclaimable: false, pricePerHour: 0, state: 'live', endpoint: { id: E1, pool: VIEW.pool, address: '', speed } }])
   const task = new RequestTask<string>({
-    work: { id: as('r'), account: as('a'), cls: classOf(sessionConfig().classes[1]!, true), pool: VIEW.pool, demand: NO_TOKENS, claim: undefined, fingerprint: () => as<Fingerprint>('f') },
+    work: { id: as('r'), account: as('a'), cls: toWorkClass(sessionConfig().classes[1]!, true), pool: VIEW.pool, demand: NO_TOKENS, claim: undefined, fingerprint: () => as<Fingerprint>('f') },
     runner: {
       start: (_view, _spec, sink) => {
         sinks.push(sink)
--- a/daemon/request/stall_watch.ts
+++ b/daemon/request/stall_watch.ts
@@ -1,6 +1,6 @@
 /** Detects attempts and endpoints that have gone silent. */
 import type { EndpointId } from '../../core/ids/index.ts'
-import { overdueAtMs, type AttemptPulse } from '../../core/request/index.ts'
+import { overdueAtMs, type AttemptProgress } from '../../core/request/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 
@@ -9,7 +9,7 @@
   /** The endpoint that runs the current attempt. */
   readonly runningAt: EndpointId | undefined
   /** Progress of the current attempt; undefined while none runs. */
-  readonly progress: AttemptPulse | undefined
+  readonly progress: AttemptProgress | undefined
   /** Abandons the attempt and retries it at another endpoint, if that is allowed. */
   handleStall (): void
 }
@@ -67,8 +67,8 @@
     const { table } = this.#options
     const { runningAt: endpoint, progress } = request
     if (endpoint === undefined || !progress) return
-    const lastActiveMs = progress.pieceAtMs ?? progress.sentAtMs
-    const maxSilenceMs = overdueAtMs(progress, { usualPauseMs: table.usualPauseMs(endpoint) }) - lastActiveMs
+    const lastActiveMs = progress.lastPieceAtMs ?? progress.sentAtMs
+    const maxSilenceMs = overdueAtMs(progress, { typicalIntervalMs: table.usualPauseMs(endpoint) }) - lastActiveMs
     const silentSinceMs = Math.max(lastActiveMs, this.#resumedAtMs)
     if (now < silentSinceMs + maxSilenceMs) return
     if (now - Math.max(table.lastWordAtMs(endpoint), this.#resumedAtMs) >= maxSilenceMs) {
--- a/daemon/request/stall_watch_test.ts
+++ b/daemon/request/stall_watch_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, test, vi } from 'vitest'
 import { as, type DaemonId, type EndpointId, type HostId, type PoolName } from '../../core/ids/index.ts'
-import type { AttemptPulse } from '../../core/request/index.ts'
+import type { AttemptProgress } from '../../core/request/index.ts'
 import { steadyNow } from '../../core/time/index.ts'
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
 import { StallWatch, type WatchedRequest } from './stall_watch.ts'
@@ -13,7 +13,7 @@
 
 class Stream implements WatchedRequest {
   runningAt: EndpointId | undefined
-  readonly progress: AttemptPulse = { sentAtMs: steadyNow(), predictedMs: 100, pieceAtMs: undefined, longestPauseMs: undefined }
+  readonly progress: AttemptProgress = { sentAtMs: steadyNow(), predictedMs: 100, lastPieceAtMs: undefined, longestPauseMs: undefined }
   moves = 0
 
   constructor (at: EndpointId) { this.runningAt = at }
@@ -29,11 +29,11 @@
   watch.start()
   const piece = (stream: Stream) => {
     const now = steadyNow()
-    if (stream.progress.pieceAtMs !== undefined) {
-      table.paused(stream.runningAt!, now - stream.progress.pieceAtMs)
-      stream.progress.longestPauseMs = now - stream.progress.pieceAtMs
+    if (stream.progress.lastPieceAtMs !== undefined) {
+      table.paused(stream.runningAt!, now - stream.progress.lastPieceAtMs)
+      stream.progress.longestPauseMs = now - stream.progress.lastPieceAtMs
     }
-    stream.progress.pieceAtMs = now
+    stream.progress.lastPieceAtMs = now
     table.heard(stream.runningAt!)
   }
   const usable = () => table.candidates(POOL).filter((view) => view.ejectedUntilMs <= steadyNow()).map(({ id }) => id)
