--- a/bench/_placing.ts
+++ b/bench/_placing.ts
@@ -7,8 +7,8 @@
 import type { Demand, WorkClass } from '../core/work/index.ts'
 import { EndpointTable } from '../daemon/endpoints/endpoint_table.ts'
 import type { Dispatcher, Placement } from '../daemon/request/dispatcher.ts'
-import { EndpointCharge } from '../daemon/request/endpoint_charge.ts'
-import { placingDispatcher } from '../daemon/request/placing_dispatcher.ts'
+import { AttemptTracker } from '../daemon/request/endpoint_charge.ts'
+import { createSharedDispatcher } from '../daemon/request/placing_dispatcher.ts'
 import { seededRandom } from '../daemon/seeded_random.ts'
 import type { ListedHost } from '../endpoints/index.ts'
 import { BatchEngine, type BatchEngineOptions } from './_batch_engine.ts'
@@ -109,7 +109,7 @@
     const id = as<DaemonId>(`d${i}`)
     const table = new EndpointTable({ self: id, hash })
     table.listed(hosts)
-    const dispatcher = placingDispatcher({
+    const dispatcher = createSharedDispatcher({
       table,
       hash,
       random: seededRandom(this.#options.seed + i + 1),
@@ -173,8 +173,8 @@
 
   #send (daemon: SimulatedDaemon, req: SimulatedRequest, { endpoint, route }: { endpoint: EndpointId, route: Route }): void {
     const placedAtMs = steadyNow()
-    const charge = new EndpointCharge(daemon.table)
-    charge.send(endpoint, { lane: route.lane, tokens: route.uncachedTokens }, route)
+    const charge = new AttemptTracker(daemon.table)
+    charge.recordSent(endpoint, { lane: route.lane, tokens: route.uncachedTokens }, route)
     const afterDelay = (act: () => void) => setTimeout(act, ONE_WAY_DELAY_MS)
     setTimeout(() => {
       this.#countRedundantPrefill(req, endpoint)
@@ -190,7 +190,7 @@
         }),
         onEnd: () => afterDelay(() => {
           charge.end()
-          daemon.dispatcher.pump()
+          daemon.dispatcher.startQueued()
         })
       })
       if (!taken) afterDelay(() => this.#handleRejection(daemon, req, { endpoint, charge }))
@@ -205,11 +205,11 @@
     }
   }
 
-  #handleRejection (daemon: SimulatedDaemon, req: SimulatedRequest, { endpoint, charge }: { endpoint: EndpointId, charge: EndpointCharge }): void {
+  #handleRejection (daemon: SimulatedDaemon, req: SimulatedRequest, { endpoint, charge }: { endpoint: EndpointId, charge: AttemptTracker }): void {
     charge.end()
     if (req.attempts + 1 < req.cls.maxAttempts) this.#place(daemon, { ...req, attempts: req.attempts + 1, avoid: [...req.avoid, endpoint] })
     else if (req.figures) req.figures.rejectedByEngine++
-    daemon.dispatcher.pump()
+    daemon.dispatcher.startQueued()
   }
 }
 
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -102,7 +102,7 @@
         placed: ({ id }) => {
           done(true)
           table.started(id, { lane: 'normal', tokens: 0 })
-          setTimeout(() => { table.ended(id); dispatcher.pump() }, SERVICE_TIME_MS)
+          setTimeout(() => { table.ended(id); dispatcher.startQueued() }, SERVICE_TIME_MS)
         },
         waits: () => {},
         refused: () => done(false)
--- a/daemon/api/answer_writer_test.ts
+++ b/daemon/api/answer_writer_test.ts
@@ -48,7 +48,7 @@
   const answer = new RemoteAnswer(as<RequestId>('d~1'))
   streamAnswer(res as unknown as ServerResponse, answer, from)
   const add = async (offset: number, tokens: string[]) => {
-    answer.take({ offset, tokens, started: true, movedAway: false, final: undefined })
+    answer.applyPart({ offset, tokens, started: true, movedAway: false, final: undefined })
     await turn()
   }
   return { res, answer, add }
@@ -59,7 +59,7 @@
   const { res, answer, add } = follow()
   for (let i = 0; i < 500; i++) await add(i, [`t${i}`])
   expect(res.writes).toHaveLength(1)
-  answer.take({ offset: 500, tokens: [], started: true, movedAway: false, final: { outcome: 'answered', reason: 'whole', retryAfterMs: undefined } })
+  answer.applyPart({ offset: 500, tokens: [], started: true, movedAway: false, final: { outcome: 'answered', reason: 'whole', retryAfterMs: undefined } })
   await turn()
   expect(res.ended).toBe(false)
   for (let i = 0; i < 3; i++) {
@@ -79,7 +79,7 @@
 
 test('a request refused before it ran gets its own HTTP status', async () => {
   const { res, answer } = follow()
-  answer.take({ offset: 0, tokens: [], started: false, movedAway: false, final: { outcome: 'not-run', reason: 'no room in time', retryAfterMs: 800 } })
+  answer.applyPart({ offset: 0, tokens: [], started: false, movedAway: false, final: { outcome: 'not-run', reason: 'no room in time', retryAfterMs: 800 } })
   await turn()
   expect(res.status).toBe(503)
   expect(JSON.parse(res.writes.join(''))).toMatchObject({ outcome: 'not-run', retryAfterMs: 800 })
--- a/daemon/api/problem.ts
+++ b/daemon/api/problem.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from 'node:http'
 import type { Outcome } from '../../core/outcome/index.ts'
 import type { RequestId } from '../../core/ids/index.ts'
-import type { FinalWord } from '../request/live_answer.ts'
+import type { FinalResult } from '../request/live_answer.ts'
 
 /** Content of a problem document. */
 export interface Problem {
@@ -20,7 +20,7 @@
 }
 
 /** Converts a request's final result, other than an answer, into a problem. */
-export function problemOf (request: RequestId, final: FinalWord): Problem {
+export function problemOf (request: RequestId, final: FinalResult): Problem {
   if (final.otherBody) return { status: 422, title: 'Idempotency key used before', detail: final.reason, outcome: 'not-run', request }
   const outcome = final.outcome === 'not-run' ? 'not-run' : 'unknown'
   const title = outcome === 'not-run' ? 'Request was not run' : 'Request may have been run'
--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -312,7 +312,7 @@
       sharers: () => Math.max(1, membership.working.length * Math.min(1, SUBSET_SIZE / Math.max(1, table.all.length)))
     })).singleton(),
     hosts: asFunction(({ cloud, table, membership, random, dispatcher }: DaemonComponents) => new HostWatch({
-      cloud, table, membership, random, onListed: () => dispatcher.pump()
+      cloud, table, membership, random, onListed: () => dispatcher.startQueued()
     })).singleton(),
     fleet: asFunction(({ self, hash, storeFor, cloud, audit, config, table, membership, engine }: DaemonComponents) => new FleetLoop({
       self,
@@ -330,7 +330,7 @@
   })
   const reclaimer = container.resolve('reclaimer')
   const broker = container.resolve('broker')
-  broker.onTookOver = () => reclaimer.replan()
+  broker.onStreamTakenOver = () => reclaimer.replan()
   container.resolve('quarantine').onHeld(() => { for (const task of broker.open) task.quarantineChanged() })
   return container.cradle
 }
--- a/daemon/endpoints/reclaimer.ts
+++ b/daemon/endpoints/reclaimer.ts
@@ -86,7 +86,7 @@
   }
 
   #move (task: RequestTask<unknown>, directive: Directive): void {
-    task.decide('stream-moved', { endpoint: task.runningAt!, action: directive.action, target: 'target' in directive ? directive.target : undefined })
+    task.recordDecision('stream-moved', { endpoint: task.runningAt!, action: directive.action, target: 'target' in directive ? directive.target : undefined })
     if (directive.action === 'prefill') task.post({ type: 'move', endpoint: directive.target, mode: 'prefill' })
     if (directive.action === 'hold') task.post({ type: 'hold' })
     if (directive.action === 'import') this.#export(task, directive.target)
@@ -108,7 +108,7 @@
     } catch (err) {
       task.exporting = false
       metrics.exportsFailed.inc()
-      task.decide('export-failed', { endpoint: source.id, why: (err as Error).message })
+      task.recordDecision('export-failed', { endpoint: source.id, why: (err as Error).message })
       this.replan()
     }
   }
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -27,7 +27,7 @@
 import { CrashWatch, QuarantineArchive, QuarantineTask } from '../quarantine/index.ts'
 import { RolloutFollower, RolloutTask, VersionGate } from '../rollout/index.ts'
 import type { Dispatcher } from '../request/dispatcher.ts'
-import { placingDispatcher } from '../request/placing_dispatcher.ts'
+import { createSharedDispatcher } from '../request/placing_dispatcher.ts'
 import { StallWatch } from '../request/stall_watch.ts'
 import { seededRandom } from '../seeded_random.ts'
 import { buildStatus, type StatusReport } from '../status.ts'
@@ -146,7 +146,7 @@
     archive: asFunction(({ membership, quarantine }: ProxyComponents) => new QuarantineArchive({ store: platform.store, quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
     loads: asFunction(({ self, membership, table, limits }: ProxyComponents) => new LoadTask({ self, membership, table, limits })).singleton(),
     rollouts: asFunction(rolloutComponents).singleton(),
-    dispatcher: asFunction(({ table, random, fleet, rollouts }: ProxyComponents) => placingDispatcher({ table, hash, random, failureDomain: settings.failureDomain, sharers: () => fleet.all, canaries: rollouts?.gate })).singleton(),
+    dispatcher: asFunction(({ table, random, fleet, rollouts }: ProxyComponents) => createSharedDispatcher({ table, hash, random, failureDomain: settings.failureDomain, sharers: () => fleet.all, canaries: rollouts?.gate })).singleton(),
     budgetOf: asFunction(retryBudgets).singleton(),
     intake: asFunction(({ table, dispatcher, metrics, client, crashes, quarantine, hash64, random, limits, usage, orders, budgetOf, config, rollouts }: ProxyComponents) => new Intake({
       table,
@@ -194,7 +194,7 @@
   const components = container.cradle
   shareLeavingNews(components.table, components.membership)
   components.quarantine.onHeld(() => { for (const task of components.intake.open) task.quarantineChanged() })
-  components.rollouts?.gate.onLeaves((pool, version) => { for (const task of components.intake.open) task.leaveVersion(pool, version) })
+  components.rollouts?.gate.onLeaves((pool, version) => { for (const task of components.intake.open) task.moveOffVersion(pool, version) })
   components.table.onReplaced((id, { announced }) => {
     if (!announced) components.crashes.restarted(components.table.get(id)!)
     components.client.cut(id)
@@ -242,7 +242,7 @@
     pool: (name) => config.inForce?.pools.get(name),
     onChange: () => {
       client.keepOnly(new Set<EndpointId>(table.all.map((view) => view.id)))
-      dispatcher.pump()
+      dispatcher.startQueued()
     }
   })
 }
--- a/daemon/exchange/exchange_writer.ts
+++ b/daemon/exchange/exchange_writer.ts
@@ -1,7 +1,7 @@
 /** Streams a proxied answer to its caller. */
 import type { ServerResponse } from 'node:http'
 import type { AnswerHead, Header } from '../../core/answer/index.ts'
-import type { FinalWord } from '../request/live_answer.ts'
+import type { FinalResult } from '../request/live_answer.ts'
 import type { RequestTask } from '../request/request_task.ts'
 
 const BAD_GATEWAY = 502
@@ -49,7 +49,7 @@
   send(res, head.status, headers, options.closeConnection)
 }
 
-function writeEnd (res: ServerResponse, task: RequestTask<Buffer>, options: { final: FinalWord, closeConnection: boolean }): void {
+function writeEnd (res: ServerResponse, task: RequestTask<Buffer>, options: { final: FinalResult, closeConnection: boolean }): void {
   if (options.final.outcome === 'answered') {
     res.end()
   } else if (res.headersSent) {
@@ -63,7 +63,7 @@
   }
 }
 
-function statusFor (final: FinalWord): number {
+function statusFor (final: FinalResult): number {
   if (final.outcome === 'not-run') return UNAVAILABLE
   return final.reason.startsWith('deadline') ? GATEWAY_TIMEOUT : BAD_GATEWAY
 }
--- a/daemon/exchange/intake.ts
+++ b/daemon/exchange/intake.ts
@@ -9,7 +9,7 @@
 import { ExchangeRunner, type ExchangeClient, type ExchangeDialect, type ProxiedRequest } from '../../endpoints/index.ts'
 import type { Dispatcher } from '../request/dispatcher.ts'
 import { RequestTask } from '../request/request_task.ts'
-import type { AnswerWatch } from '../request/work.ts'
+import type { AnswerObserver } from '../request/work.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 import type { ConfigState } from '../log/index.ts'
 import type { Metrics } from '../metrics.ts'
@@ -47,7 +47,7 @@
   usage: UsageTask
   orders: OrderTask
   /** Observes endpoints' answers for rollouts; undefined if the platform rolls out no versions. */
-  answers: AnswerWatch | undefined
+  answers: AnswerObserver | undefined
   /** Revision in force on this daemon and the age of its last confirmation, for the log. */
   configState (): ConfigState
 }
@@ -99,7 +99,7 @@
       from: req.resumeFrom,
       deadlineInMs: Math.min(req.deadlineInMs ?? Infinity, cls.latency.deadlineMs)
     })
-    task.decide('request-taken', {
+    task.recordDecision('request-taken', {
       ...this.configState,
       account: task.work.account,
       class: cls.name,
--- a/daemon/request/_request_events.ts
+++ b/daemon/request/_request_events.ts
@@ -5,7 +5,7 @@
 import { steadyNow } from '../../core/time/index.ts'
 import type { EndpointTable } from '../endpoints/endpoint_table.ts'
 import type { RequestEvents } from '../log/index.ts'
-import type { FinalWord } from './live_answer.ts'
+import type { FinalResult } from './live_answer.ts'
 import type { PieceTimes } from './piece_times.ts'
 
 /** An attempt that is about to start. `route` holds the router's prediction, if the router chose the endpoint. */
@@ -39,7 +39,7 @@
 }
 
 /** Builds the `request-ended` event: the outcome and the timing of the answer's pieces. */
-export function requestEndedEvent (req: EndedRequest, { final, pieces }: { final: FinalWord, pieces: PieceTimes }): RequestEvents['request-ended'] {
+export function requestEndedEvent (req: EndedRequest, { final, pieces }: { final: FinalResult, pieces: PieceTimes }): RequestEvents['request-ended'] {
   return {
     outcome: final.outcome,
     why: final.reason,
--- a/daemon/request/broker.ts
+++ b/daemon/request/broker.ts
@@ -94,7 +94,7 @@
   readonly #standby: Standby
   #refusing = false
   /** Called after this daemon takes over a stream, since the stream's endpoint may be leaving. */
-  onTookOver: () => void = () => {}
+  onStreamTakenOver: () => void = () => {}
 
   constructor (options: BrokerOptions) {
     this.#options = options
@@ -334,7 +334,7 @@
     const holder = this.#holderOf(args.id)
     if (!holder) return answer.markLost('nobody holds the answer')
     try {
-      const found = await membership.links.call(holder, 'follow', args, { timeoutMs: FOLLOW_TIMEOUT_MS, part: (value) => answer.take(value as AnswerPart) })
+      const found = await membership.links.call(holder, 'follow', args, { timeoutMs: FOLLOW_TIMEOUT_MS, part: (value) => answer.applyPart(value as AnswerPart) })
       if (!found) answer.markLost('the answer is no longer kept')
     } catch {
       answer.cut()
@@ -377,13 +377,13 @@
     const task = this.#taskFor({ id, account, cls, model: true, input: prompt, maxTokens, claim: undefined, deadlineInMs: handOver.deadlineInMs })
     this.#register(task)
     task.takeOver(handOver, view, ownerReleased)
-    this.onTookOver()
+    this.onStreamTakenOver()
     return true
   }
 
   #storeFinished ({ id, account, tokens, final }: FinishedAnswer): void {
     const answer = new RemoteAnswer(as(id))
-    answer.take({ offset: 0, tokens, started: true, movedAway: false, final })
+    answer.applyPart({ offset: 0, tokens, started: true, movedAway: false, final })
     this.#storeAnswer(id, { account, answer })
   }
 }
--- a/daemon/request/dispatcher.ts
+++ b/daemon/request/dispatcher.ts
@@ -113,7 +113,7 @@
   }
 
   /** Starts queued requests that now have room and refuses those that are too late. Must be called whenever room may have become free. */
-  pump (): void {
+  startQueued (): void {
     const now = steadyNow()
     for (const pool of this.#pools.values()) {
       for (const late of pool.queue.expire(now)) late.item.refused('no room in time', Math.max(MIN_RETRY_AFTER_MS, pool.msPerStart))
@@ -196,7 +196,7 @@
     if (this.#sweepTimer !== undefined) return
     this.#sweepTimer = setTimeout(() => {
       this.#sweepTimer = undefined
-      this.pump()
+      this.startQueued()
       if (this.queued > 0) this.#scheduleSweep()
     }, SWEEP_MS)
   }
--- a/daemon/request/dispatcher_test.ts
+++ b/daemon/request/dispatcher_test.ts
@@ -8,7 +8,7 @@
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
 import { seededRandom } from '../seeded_random.ts'
 import type { Placement } from './dispatcher.ts'
-import { placingDispatcher } from './placing_dispatcher.ts'
+import { createSharedDispatcher } from './placing_dispatcher.ts'
 
 const { h32: hash } = await xxhash()
 const POOL = as<PoolName>('desk')
@@ -45,7 +45,7 @@
     const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
     table.listed([listed('failed', 1000), listed('other', 1000)])
     table.listed([listed('failed', 2000), listed('other', 1000)])
-    const dispatcher = placingDispatcher({ table, hash, random: seededRandom(seed), failureDomain: DOMAIN, sharers: () => 1 })
+    const dispatcher = createSharedDispatcher({ table, hash, random: seededRandom(seed), failureDomain: DOMAIN, sharers: () => 1 })
     dispatcher.place(placement({ avoid: [endpointId('failed', 1000)], placed: ({ id }) => placedAt.add(id) }))
   }
   expect([...placedAt]).toEqual([endpointId('other', 1000)])
@@ -62,7 +62,7 @@
   table.restrict(({ version }) => version === OLD)
   let spent = 0
   const canaries = { canaries: () => table.ofVersion(POOL, NEW), spent: () => { spent++ } }
-  const dispatcher = placingDispatcher({ table, hash, random: seededRandom(1), failureDomain: DOMAIN, sharers: () => 1, canaries })
+  const dispatcher = createSharedDispatcher({ table, hash, random: seededRandom(1), failureDomain: DOMAIN, sharers: () => 1, canaries })
   const sentTo = (change: Partial<Placement>): string | undefined => {
     let name: string | undefined
     dispatcher.place(placement({ ...change, placed: (view) => { name = view.name } }))
--- a/daemon/request/endpoint_charge.ts
+++ b/daemon/request/endpoint_charge.ts
@@ -21,7 +21,7 @@
 }
 
 /** Keeps the endpoint table's counters correct across the attempts of one request. */
-export class EndpointCharge {
+export class AttemptTracker {
   readonly #table: EndpointTable
   #sent: SentAttempt | undefined
   /** Called on the first response of each attempt whose first-token time was predicted. */
@@ -41,7 +41,7 @@
   }
 
   /** Records that an attempt was sent. */
-  send (endpoint: EndpointId, work: SentWork, predicted: Prediction | undefined): void {
+  recordSent (endpoint: EndpointId, work: SentWork, predicted: Prediction | undefined): void {
     this.#table.started(endpoint, work)
     this.#sent = { ...work, endpoint, atMs: steadyNow(), predicted, prefilled: false, pieces: new PieceTimes() }
   }
--- a/daemon/request/live_answer.ts
+++ b/daemon/request/live_answer.ts
@@ -3,7 +3,7 @@
 import type { Outcome } from '../../core/outcome/index.ts'
 
 /** The final result of a request. */
-export interface FinalWord {
+export interface FinalResult {
   outcome: Outcome
   reason: string
   retryAfterMs: number | undefined
@@ -18,7 +18,7 @@
   readonly id: RequestId
   readonly tokens: readonly string[]
   /** Set once, when the answer is complete or has failed. */
-  readonly final: FinalWord | undefined
+  readonly final: FinalResult | undefined
   /** True once an attempt has started. */
   readonly started: boolean
   /** True once another daemon has taken over; callers resume there. */
@@ -48,7 +48,7 @@
 export class RemoteAnswer implements LiveAnswer {
   readonly id: RequestId
   readonly tokens: string[] = []
-  final: FinalWord | undefined
+  final: FinalResult | undefined
   started = false
   movedAway = false
   readonly #listeners = new Listeners()
@@ -67,7 +67,7 @@
    * A missing part would leave the caller with a gap in an answer that looks complete. The mirror is therefore cut, and the caller
    * resumes from what it has received.
    */
-  take (part: AnswerPart): void {
+  applyPart (part: AnswerPart): void {
     if (this.movedAway) return
     if (part.offset > this.tokens.length) return this.cut()
     if (part.offset + part.tokens.length > this.tokens.length) this.tokens.push(...part.tokens.slice(this.tokens.length - part.offset))
@@ -92,4 +92,4 @@
 }
 
 /** Part of an answer, as sent between daemons. */
-export interface AnswerPart { offset: number, tokens: readonly string[], started: boolean, movedAway: boolean, final: FinalWord | undefined }
+export interface AnswerPart { offset: number, tokens: readonly string[], started: boolean, movedAway: boolean, final: FinalResult | undefined }
--- a/daemon/request/placing_dispatcher.ts
+++ b/daemon/request/placing_dispatcher.ts
@@ -5,7 +5,7 @@
 import { Dispatcher, type CanaryGate } from './dispatcher.ts'
 
 /** Options of {@linkcode createSharedDispatcher}. */
-export interface PlacingDispatcherOptions {
+export interface SharedDispatcherOptions {
   table: EndpointTable
   hash: Hash32
   random: Random
@@ -23,7 +23,7 @@
 const PREFIX_EXPIRES_MS = 15_000
 
 /** Creates a dispatcher that routes by prefix cache, predicted first-token time and distance. */
-export function placingDispatcher ({ table, hash, random, failureDomain, sharers, canaries }: PlacingDispatcherOptions): Dispatcher {
+export function createSharedDispatcher ({ table, hash, random, failureDomain, sharers, canaries }: SharedDispatcherOptions): Dispatcher {
   return new Dispatcher({
     table,
     prefixes: new PrefixIndex({ expiresMs: PREFIX_EXPIRES_MS }),
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -10,16 +10,16 @@
 import type { RequestEvents } from '../log/index.ts'
 import { ClaimError } from '../once/shard_log.ts'
 import type { Placement } from './dispatcher.ts'
-import { EndpointCharge } from './endpoint_charge.ts'
-import { Listeners, type FinalWord } from './live_answer.ts'
+import { AttemptTracker } from './endpoint_charge.ts'
+import { Listeners, type FinalResult } from './live_answer.ts'
 import { PieceTimes } from './piece_times.ts'
 import { RequestDecisions } from './request_decisions.ts'
 import { attemptStartedEvent, requestEndedEvent } from './_request_events.ts'
-import { QUARANTINED_REASON, type Decision, type RequestPorts, type Work } from './work.ts'
+import { QUARANTINED_REASON, type Decision, type RequestPorts, type RequestWork } from './work.ts'
 
 /** Options of {@linkcode RequestTask}. */
 export interface RequestTaskOptions<P> extends AnswerBufferOptions<P> {
-  work: Work
+  work: RequestWork
   runner: AttemptRunner<P>
   ports: RequestPorts
   /** Milliseconds until the deadline. Default: the deadline of the request's class. */
@@ -33,7 +33,7 @@
 
 /** One request. Owns its answer, its deadline timer and its connection to an endpoint. */
 export class RequestTask<P = string> {
-  readonly work: Work
+  readonly work: RequestWork
   readonly answer: AnswerBuffer<P>
   readonly acceptedAtMs = steadyNow()
   readonly #decisions: RequestDecisions
@@ -41,7 +41,7 @@
   head: AnswerHead | undefined
   /** The last error response sent by an endpoint. */
   failureAnswer: WholeAnswer | undefined
-  final: FinalWord | undefined
+  final: FinalResult | undefined
   movedAway = false
   /** Set before a migration whose KV cache is already at the target. */
   kvHandle: string | undefined
@@ -62,7 +62,7 @@
   #handling = false
   readonly #deadlineTimer: NodeJS.Timeout
   #placement: Placement | undefined
-  readonly #tracker: EndpointCharge
+  readonly #tracker: AttemptTracker
   #route: Route | undefined
   readonly #pieces = new PieceTimes()
   #hasBegun = false
@@ -72,7 +72,7 @@
     this.work = work
     this.ports = ports
     this.#decisions = new RequestDecisions(work.id)
-    this.#tracker = new EndpointCharge(ports.table)
+    this.#tracker = new AttemptTracker(ports.table)
     this.#tracker.onFirstAnswer = (endpoint, times) => this.#reportFirstAnswer(endpoint, times)
     this.#runner = runner
     this.answer = new AnswerBuffer<P>(options)
@@ -118,7 +118,7 @@
   }
 
   /** Moves a resumable stream to another endpoint if its current one runs a version that must receive no more work. */
-  leaveVersion (pool: PoolName, version: EndpointVersion): void {
+  moveOffVersion (pool: PoolName, version: EndpointVersion): void {
     const view = this.runningAt && this.ports.table.get(this.runningAt)
     if (view?.pool === pool && view.version === version && canMove(this.lifecycle)) this.post({ type: 'hold' })
   }
@@ -145,7 +145,7 @@
   get decisions (): Decision[] { return this.#decisions.all }
 
   /** Logs a decision about the request and appends it to the decision log. */
-  decide<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): void {
+  recordDecision<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): void {
     this.#decisions.add(event, fields)
   }
 
@@ -220,7 +220,7 @@
       avoid,
       placed: (view, route) => this.#onPlaced(view, route),
       refused: (reason, retryAfterMs) => this.post({ type: 'refused', reason, retryAfterMs }),
-      waits: (queue) => this.decide('request-waits', { pool: work.pool, ...queue })
+      waits: (queue) => this.recordDecision('request-waits', { pool: work.pool, ...queue })
     }
     this.ports.dispatcher.place(this.#placement)
   }
@@ -236,7 +236,7 @@
     const heldForMs = quarantine.heldForMs(this.work)
     if (heldForMs === undefined) return false
     metrics.held.inc({ class: metrics.labelOf(this.work.cls.name) })
-    this.decide('request-held', { fingerprint: this.work.fingerprint(), forMs: Math.round(heldForMs) })
+    this.recordDecision('request-held', { fingerprint: this.work.fingerprint(), forMs: Math.round(heldForMs) })
     this.post({ type: 'quarantined', reason: QUARANTINED_REASON, retryAfterMs: heldForMs })
     return true
   }
@@ -254,7 +254,7 @@
     if (!view) return this.#onAttemptError(attempt, endpoint, new AttemptError('Cannot start: endpoint is not listed', { point: 'before-send' }))
     this.ports.metrics.attempts.inc({ mode })
     const lane = this.#route?.lane ?? (this.work.cls.urgent ? 'urgent' : 'normal')
-    this.decide('attempt-started', attemptStartedEvent(view, { attempt, mode, lane, fromPiece: this.answer.length, route: this.#route, table: this.ports.table }))
+    this.recordDecision('attempt-started', attemptStartedEvent(view, { attempt, mode, lane, fromPiece: this.answer.length, route: this.#route, table: this.ports.table }))
     this.#trackSent(view, { lane, tokens: mode === 'import' ? 0 : this.#route?.uncachedTokens ?? this.kvTokens })
     const kvHandle = mode === 'import' ? this.kvHandle : undefined
     this.kvHandle = undefined
@@ -272,7 +272,7 @@
   }
 
   #trackSent (view: EndpointView, work: SentWork): void {
-    this.#tracker.send(view.id, work, this.#route)
+    this.#tracker.recordSent(view.id, work, this.#route)
     this.#route = undefined
   }
 
@@ -361,7 +361,7 @@
     const retryGranted = repeat === 'allowed'
     this.failureAnswer = err.answer
     if (outcomeAt(err.point) === 'unknown') this.#markBegun()
-    this.decide('attempt-failed', {
+    this.recordDecision('attempt-failed', {
       attempt,
       endpoint,
       point: err.point,
@@ -393,7 +393,7 @@
     }, () => this.post({ type: 'stopped', attempt, confirmed: false }))
   }
 
-  #finish (final: FinalWord): void {
+  #finish (final: FinalResult): void {
     clearTimeout(this.#deadlineTimer)
     if (this.final) return
     this.final = final
@@ -402,10 +402,10 @@
     if (final.outcome === 'answered') this.#tracker.read()
     this.#tracker.end()
     this.lifecycle = { ...this.lifecycle, phase: 'done', outcome: final.outcome }
-    this.decide('request-ended', requestEndedEvent(this, { final, pieces: this.#pieces }))
+    this.recordDecision('request-ended', requestEndedEvent(this, { final, pieces: this.#pieces }))
     this.#recordFinish(final)
     this.onFinish()
-    this.ports.dispatcher.pump()
+    this.ports.dispatcher.startQueued()
     this.listeners.notify()
   }
 
@@ -413,7 +413,7 @@
    * Counts the result. A repeated idempotency key, which the earlier request answers, is counted as `repeated`: as `not-run` it would look like a
    * missed target.
    */
-  #recordFinish (final: FinalWord): void {
+  #recordFinish (final: FinalResult): void {
     const { metrics } = this.ports
     const cls = metrics.labelOf(this.work.cls.name)
     const repeated = final.repeats !== undefined || final.otherBody === true
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -40,7 +40,7 @@
     },
     ports: {
       table,
-      dispatcher: { place: (placement: Placement) => { placements.push(placement) }, remove: () => {}, pump: () => {} } as Partial<Dispatcher> as Dispatcher,
+      dispatcher: { place: (placement: Placement) => { placements.push(placement) }, remove: () => {}, startQueued: () => {} } as Partial<Dispatcher> as Dispatcher,
       budget: { deposit: () => {}, tryWithdraw: () => true },
       metrics: createMetrics(),
       crashes: { gaveUp: () => {} } as Partial<CrashWatch> as CrashWatch,
--- a/daemon/request/token_task.ts
+++ b/daemon/request/token_task.ts
@@ -100,11 +100,11 @@
     this.answer.replaceAttempt(handOver.attempt)
     this.answer.add({ attempt: handOver.attempt, offset: 0, pieces: handOver.tokens })
     if (!view) {
-      this.decide('stream-taken-over', { endpoint: undefined, fromPiece: handOver.tokens.length })
+      this.recordDecision('stream-taken-over', { endpoint: undefined, fromPiece: handOver.tokens.length })
       return this.place([])
     }
     this.trackTakenOver(view)
-    this.decide('stream-taken-over', { endpoint: view.id, fromPiece: handOver.tokens.length })
+    this.recordDecision('stream-taken-over', { endpoint: view.id, fromPiece: handOver.tokens.length })
     this.#resume(view, handOver.attempt, handOver.tokens.length)
   }
 
--- a/daemon/request/work.ts
+++ b/daemon/request/work.ts
@@ -10,7 +10,7 @@
 import type { Dispatcher } from './dispatcher.ts'
 
 /** The work that a caller requested. */
-export interface Work {
+export interface RequestWork {
   id: RequestId
   account: AccountId
   cls: WorkClass
@@ -23,9 +23,9 @@
 }
 
 /** Observes how endpoints answer while a version is being rolled out. */
-export interface AnswerWatch {
+export interface AnswerObserver {
   /** Called when a request arrives. */
-  asked (work: Pick<Work, 'pool' | 'cls'>): void
+  asked (work: Pick<RequestWork, 'pool' | 'cls'>): void
   /** Called when an endpoint sends the first response to an attempt. */
   answered (view: EndpointView, cls: ClassName, times: { tookMs: number, predictedMs: number }): void
   /** Called when an endpoint reports that it failed. */
@@ -41,7 +41,7 @@
   crashes: CrashWatch
   quarantine: QuarantineTask
   /** Default: no observer. */
-  answers?: AnswerWatch | undefined
+  answers?: AnswerObserver | undefined
 }
 
 /** Reason given for refusing a request whose fingerprint is quarantined. */
--- a/daemon/sessions/golden_test.ts
+++ b/daemon/sessions/golden_test.ts
@@ -65,13 +65,13 @@
 /** Collects the decisions about all requests on all daemons, in chronological order. */
 function recordDecisions () {
   const seen: Array<{ task: TokenTask, decision: Decision }> = []
-  const decide = TokenTask.prototype.decide
-  TokenTask.prototype.decide = function (this: TokenTask, ...args: Parameters<typeof decide>) {
+  const decide = TokenTask.prototype.recordDecision
+  TokenTask.prototype.recordDecision = function (this: TokenTask, ...args: Parameters<typeof decide>) {
     decide.apply(this, args)
     seen.push({ task: this, decision: this.decisions.at(-1)! })
   }
   return {
-    stop: () => { TokenTask.prototype.decide = decide },
+    stop: () => { TokenTask.prototype.recordDecision = decide },
     lines: (from: number) => seen.map(({ task, decision }) => `${String(decision.atMs - from).padStart(6)} ms  ${task.prompt.split(' ')[0]!.padEnd(10)} ${decision.text}`)
   }
 }
