--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -50,13 +50,13 @@
   const nodes: Node[] = []
   const joinMs = await measureMs(async () => {
     for (let i = 0; i < count; i++) nodes.push(await startNode(i, { store, hash, random, seeds: nodes.slice(0, 3).map((node) => node.membership.core.self.address) }))
-    await waitUntil(() => nodes.every((node) => node.membership.working.length === count))
+    await waitUntil(() => nodes.every((node) => node.membership.acceptingWork.length === count))
   })
   await nodes[0]!.config.apply(sessionConfig(), { operator: 'bench' })
   await waitUntil(() => nodes.every((node) => node.config.inForce?.revision === 1))
   await delay(3000)
   const steady = await measureSteady(nodes)
-  const fact = await timeToReachAll(nodes, () => nodes[0]!.membership.tell({ key: 'leaving/host', version: 1, value: 1 }), (node) => node.membership.core.fact('leaving/host') !== undefined)
+  const fact = await timeToReachAll(nodes, () => nodes[0]!.membership.publishFact({ key: 'leaving/host', version: 1, value: 1 }), (node) => node.membership.core.fact('leaving/host') !== undefined)
   const beforeChange = await totals(nodes)
   const config = await timeToReachAll(nodes, () => { nodes[1]!.config.apply({ ...sessionConfig(), wantsLeast: 'cost' }, { operator: 'bench' }) }, (node) => node.config.inForce?.revision === 2)
   await delay(1000)
--- a/daemon/config/config_follower.ts
+++ b/daemon/config/config_follower.ts
@@ -95,7 +95,7 @@
   get watchesStore (): boolean {
     const { self, hash, membership } = this.#options
     const domain = membership.core.self.failureDomain
-    const peers = membership.working.filter((member) => member.failureDomain === domain)
+    const peers = membership.acceptingWork.filter((member) => member.failureDomain === domain)
     const ahead = peers.filter((member) => hash(`watch/${member.id}`) > hash(`watch/${self}`))
     return ahead.length < (this.#options.watchersPerDomain ?? DEFAULT_WATCHERS_PER_DOMAIN)
   }
@@ -133,7 +133,7 @@
     this.#options.metrics.revision.set(config.revision)
     for (const listener of this.#listeners) listener(config)
     this.#resolveKnown()
-    this.#options.membership.tell({ key: FACT_KEY, version: config.revision, value: null })
+    this.#options.membership.publishFact({ key: FACT_KEY, version: config.revision, value: null })
     if (this.#options.publishesRevision ?? true) this.#options.membership.setSelf({ revision: config.revision })
   }
 
--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -309,7 +309,7 @@
       random,
       open: () => broker.open,
       wantsLeast: () => config.inForce?.config.wantsLeast ?? 'cost',
-      sharers: () => Math.max(1, membership.working.length * Math.min(1, SUBSET_SIZE / Math.max(1, table.all.length)))
+      sharers: () => Math.max(1, membership.acceptingWork.length * Math.min(1, SUBSET_SIZE / Math.max(1, table.all.length)))
     })).singleton(),
     hosts: asFunction(({ cloud, table, membership, random, dispatcher }: DaemonComponents) => new HostWatch({
       cloud, table, membership, random, onListed: () => dispatcher.startQueued()
--- a/daemon/duties/order_task.ts
+++ b/daemon/duties/order_task.ts
@@ -131,7 +131,7 @@
    */
   #countDemand (pool: PoolName): PoolDemand | undefined {
     const { lease, tallies } = this.#options
-    if (!tallies.keepsBooks && lease.fencing === undefined) {
+    if (!tallies.isReplica && lease.fencing === undefined) {
       this.#demand.delete(pool)
       this.#slotDemand.delete(pool)
       return undefined
--- a/daemon/duties/order_task_test.ts
+++ b/daemon/duties/order_task_test.ts
@@ -71,7 +71,7 @@
       duties: { order: async (order) => this.#order(order), report: async () => {} },
       lease: this.lease as unknown as LeaseTask,
       table: this.table,
-      tallies: { tally: this.tally, keepsBooks: true } as unknown as TallyTask,
+      tallies: { tally: this.tally, isReplica: true } as unknown as TallyTask,
       metrics: createMetrics(),
       pools: this.pools,
       allowedTokensPerS: () => this.allowedTokensPerS,
--- a/daemon/endpoints/host_watch.ts
+++ b/daemon/endpoints/host_watch.ts
@@ -52,7 +52,7 @@
     const everyMs = this.#options.listEveryMs ?? LIST_EVERY_MS
     while (!this.#stopped) {
       // A leaving host that one daemon sees is shared with all, so the more daemons there are, the less often each needs to read.
-      const periods = Math.max(1, this.#options.membership.working.length / FULL_RATE_DAEMONS)
+      const periods = Math.max(1, this.#options.membership.acceptingWork.length / FULL_RATE_DAEMONS)
       await delay(everyMs * periods * (0.75 + this.#options.random() / 2))
       await this.#refresh()
     }
--- a/daemon/endpoints/leaving_news.ts
+++ b/daemon/endpoints/leaving_news.ts
@@ -26,8 +26,8 @@
       log('endpoint-leaving', { endpoint: view.id, signal, leftMs: Math.round(leftMs) })
       if (signal === 'peer') continue
       const goneAtWallMs = Date.now() + leftMs
-      if (version !== undefined) membership.tell({ key: DEPARTED_PREFIX + view.hostId, version, value: goneAtWallMs })
-      else membership.tell({ key: LEAVING_PREFIX + view.hostId, version: factVersion(signal, goneAtWallMs), value: goneAtWallMs })
+      if (version !== undefined) membership.publishFact({ key: DEPARTED_PREFIX + view.hostId, version, value: goneAtWallMs })
+      else membership.publishFact({ key: LEAVING_PREFIX + view.hostId, version: factVersion(signal, goneAtWallMs), value: goneAtWallMs })
     }
   })
 }
--- a/daemon/endpoints/leaving_news_test.ts
+++ b/daemon/endpoints/leaving_news_test.ts
@@ -27,7 +27,7 @@
         this.#listeners.push({ of: id, listener })
         setTimeout(() => this.#facts.forEach((fact) => listener(fact, id)), 1)
       },
-      tell: (fact: Fact) => this.#tell(fact, id)
+      publishFact: (fact: Fact) => this.#tell(fact, id)
     } as unknown as MembershipTask
   }
 
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -17,7 +17,7 @@
 import { AccountLimits } from '../limits/account_limits.ts'
 import { CpuTimeLog } from '../log/index.ts'
 import { createMetrics, type Metrics } from '../metrics.ts'
-import { LeaseWords } from '../peers/lease_words.ts'
+import { LeaseAnnouncer } from '../peers/lease_words.ts'
 import { LoadTask } from '../peers/load_task.ts'
 import { MembershipTask } from '../peers/membership_task.ts'
 import { PeerLinks } from '../peers/peer_links.ts'
@@ -123,7 +123,7 @@
       hash,
       metrics,
       random,
-      registeredAs: settings.name
+      registrationName: settings.name
     })).singleton(),
     fleet: asFunction(({ membership }: ProxyComponents) => new FleetSize(membership)).singleton(),
     tallies: asFunction(({ self, membership }: ProxyComponents) => new TallyTask({ self, membership })).singleton(),
@@ -131,10 +131,10 @@
       store: platform.store,
       links,
       self: () => membership.core.self,
-      working: () => membership.working,
+      acceptingWork: () => membership.acceptingWork,
       hash,
       metrics,
-      newsMs: settings.registry.leavingMs
+      propagationMs: settings.registry.leavingMs
     })).singleton(),
     config: asFunction(configFollower).singleton(),
     limits: asFunction(({ self, membership, fleet }: ProxyComponents) => new AccountLimits({ self, host: settings.name, tolerance: settings.quota, membership, fleet })).singleton(),
@@ -146,7 +146,7 @@
     archive: asFunction(({ membership, quarantine }: ProxyComponents) => new QuarantineArchive({ store: platform.store, quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
     loads: asFunction(({ self, membership, table, limits }: ProxyComponents) => new LoadTask({ self, membership, table, limits })).singleton(),
     rollouts: asFunction(rolloutComponents).singleton(),
-    dispatcher: asFunction(({ table, random, fleet, rollouts }: ProxyComponents) => createSharedDispatcher({ table, hash, random, failureDomain: settings.failureDomain, sharers: () => fleet.all, canaries: rollouts?.gate })).singleton(),
+    dispatcher: asFunction(({ table, random, fleet, rollouts }: ProxyComponents) => createSharedDispatcher({ table, hash, random, failureDomain: settings.failureDomain, sharers: () => fleet.hostCount, canaries: rollouts?.gate })).singleton(),
     budgetOf: asFunction(retryBudgets).singleton(),
     intake: asFunction(({ table, dispatcher, metrics, client, crashes, quarantine, hash64, random, limits, usage, orders, budgetOf, config, rollouts }: ProxyComponents) => new Intake({
       table,
@@ -177,12 +177,12 @@
       store: platform.store,
       name: 'duties',
       ttlMs: settings.leaseMs * LEASE_TTL_FRACTION,
-      lookEveryMs: LEASE_POLL_MS,
+      pollIntervalMs: LEASE_POLL_MS,
       retryMs: LEASE_POLL_MS,
       fenced: settings.ordersFenced,
-      apartMs: settings.leaseMs,
-      peers: new LeaseWords({ self, links, contenders: () => tallies.bookkeepers }),
-      contends: () => membership.joined && tallies.keepsBooks
+      reacquireDelayMs: settings.leaseMs,
+      peers: new LeaseAnnouncer({ self, links, contenders: () => tallies.replicas }),
+      contends: () => membership.joined && tallies.isReplica
     })).singleton(),
     usage: asFunction(({ lease, tallies }: ProxyComponents) => new UsageTask({
       name: settings.name, store: platform.store, duties: platform.duties, lease, tallies, ...settings.usage
@@ -260,7 +260,7 @@
 /** Returns this daemon's share of the connections that an endpoint accepts, so that all daemons together stay below its limit. */
 function connectionsTo (view: EndpointView, config: ConfigFollower<Catalog>, fleet: FleetSize): number {
   const accepted = config.inForce?.pools.get(view.pool)?.maxConnections ?? 0
-  return Math.max(1, Math.floor(accepted * CONNECTION_FRACTION / fleet.all))
+  return Math.max(1, Math.floor(accepted * CONNECTION_FRACTION / fleet.hostCount))
 }
 
 /** Gives each pool a retry budget that is this daemon's own share, so that a restart or a partition cannot raise the total by much. */
@@ -272,7 +272,7 @@
       budget = new WindowBudget({
         windowMs: settings.repeats.windowMs,
         fraction: () => settings.repeats.ratio * RETRY_BUDGET_FRACTION,
-        extraRetries: () => settings.repeats.beside * RETRY_BUDGET_FRACTION / fleet.all,
+        extraRetries: () => settings.repeats.beside * RETRY_BUDGET_FRACTION / fleet.hostCount,
         initialExtraFraction: INITIAL_RETRY_FRACTION
       })
       budgets.set(pool, budget)
--- a/daemon/fleet/fleet_loop.ts
+++ b/daemon/fleet/fleet_loop.ts
@@ -65,7 +65,7 @@
   #contends (pool: string): boolean {
     const { self, hash, membership } = this.#options
     const rank = (id: DaemonId) => hash(`fleet/${pool}/${id}`)
-    return membership.working.filter(({ id }) => rank(id) > rank(self)).length < MAX_CONTENDERS
+    return membership.acceptingWork.filter(({ id }) => rank(id) > rank(self)).length < MAX_CONTENDERS
   }
 
   #managedPool (pool: PoolName): ManagedPool {
--- a/daemon/fleet/lease_task.ts
+++ b/daemon/fleet/lease_task.ts
@@ -26,7 +26,7 @@
   /** How long the holder may act after a renewal, in milliseconds. Default 15,000. */
   ttlMs?: number
   /** Maximum interval between reads of a lease held by another daemon, in milliseconds. Default 5,000. */
-  lookEveryMs?: number
+  pollIntervalMs?: number
   /** Whether this daemon contends for the lease; every contender reads it periodically. Default: always true. */
   contends? (): boolean
   /** Channel for announcements, which save waiting contenders most reads of the lease. Default: none. */
@@ -36,7 +36,7 @@
   /** Whether the receiver of orders rejects fencing numbers lower than the highest it has seen. Default false. */
   fenced?: boolean
   /** How long after its last action a daemon that regains the lease from another holder must wait before it acts again, in milliseconds. Default 0. */
-  apartMs?: number
+  reacquireDelayMs?: number
 }
 
 const DEFAULT_TTL_MS = 15_000
@@ -189,13 +189,13 @@
     const { record, version } = this.#state
     if (this.fencing !== undefined && record) await this.#rereadOnFailure(() => this.#write(released(record, randomUUID()), version))
     this.#hasCurrentRecord = false
-    await delay(this.#options.lookEveryMs ?? DEFAULT_POLL_INTERVAL_MS)
+    await delay(this.#options.pollIntervalMs ?? DEFAULT_POLL_INTERVAL_MS)
   }
 
   /** Waits; contenders then read the record to see whether it was renewed. The holder already knows it. */
   async #waitAndRead (ms: number): Promise<void> {
     const woken = new Promise<void>((resolve) => { this.#wake = resolve })
-    await Promise.race([delay(Math.min(ms, this.#options.lookEveryMs ?? DEFAULT_POLL_INTERVAL_MS)), woken])
+    await Promise.race([delay(Math.min(ms, this.#options.pollIntervalMs ?? DEFAULT_POLL_INTERVAL_MS)), woken])
     if (!this.#isHolder && !this.#stopped && !this.#announcedRecently) await this.#rereadOnFailure(() => this.#read())
   }
 
@@ -235,7 +235,7 @@
     this.#state = recordRead(this.#state, found, { self, now: steadyNow() })
     const { record } = this.#state
     if (!record || record.fencing === before?.fencing) return
-    if (record.holder === self && before && before.holder !== self) this.#notBeforeMs = this.#lastActiveAtMs + (this.#options.apartMs ?? 0)
+    if (record.holder === self && before && before.holder !== self) this.#notBeforeMs = this.#lastActiveAtMs + (this.#options.reacquireDelayMs ?? 0)
     log('lease-changed', { name: this.#options.name, holder: record.holder, fencing: record.fencing })
     if (record.holder === self) this.onChange(record.fencing)
     else if (before?.holder === self) this.onChange(undefined)
--- a/daemon/fleet/lease_task_test.ts
+++ b/daemon/fleet/lease_task_test.ts
@@ -2,7 +2,7 @@
 import { as, type DaemonId, type EndpointId } from '../../core/ids/index.ts'
 import { Ledger, StandInEngine, StandInStore } from '../../standins/index.ts'
 import { LeaseTask, type LeasePeers, type LeaseAnnouncement } from './lease_task.ts'
-import { OrderKeeper, type DesiredState } from './order_keeper.ts'
+import { EngineReconciler, type DesiredState } from './order_keeper.ts'
 
 const TTL_MS = 10_000
 const tasks: LeaseTask[] = []
@@ -13,7 +13,7 @@
   vi.useRealTimers()
 })
 
-function lease (store: StandInStore, name: string, options: { fenced?: boolean, apartMs?: number, contends?: () => boolean, peers?: LeasePeers } = {}): LeaseTask {
+function lease (store: StandInStore, name: string, options: { fenced?: boolean, reacquireDelayMs?: number, contends?: () => boolean, peers?: LeasePeers } = {}): LeaseTask {
   const task = new LeaseTask({ self: as<DaemonId>(name), store, name: 'fleet', ttlMs: TTL_MS, ...options })
   tasks.push(task)
   task.start()
@@ -158,7 +158,7 @@
   const store = new StandInStore()
   const apartMs = 60_000
   let turn = 'a'
-  const [a, b] = ['a', 'b'].map((name) => lease(store, name, { apartMs, contends: () => turn === name })) as [LeaseTask, LeaseTask]
+  const [a, b] = ['a', 'b'].map((name) => lease(store, name, { reacquireDelayMs: apartMs, contends: () => turn === name })) as [LeaseTask, LeaseTask]
   await advance(1000)
   expect([a.fencing, b.fencing]).toEqual([1, undefined])
   turn = 'b'
@@ -184,7 +184,7 @@
   // The same on an engine that does not check: it accepts the old order. The next round of the current holder detects that and repeats its own.
   const target = engine()
   target.faults.ignoreFencing = true
-  const reconciler = new OrderKeeper({ engine: () => target, fencing: () => 2 })
+  const reconciler = new EngineReconciler({ engine: () => target, fencing: () => 2 })
   expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(1)
   await target.order({ models: ['rankings-v1'], role: 'both', fencing: 1 })
   expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(1)
@@ -194,7 +194,7 @@
 
 test('no order is sent without the lease', async () => {
   const target = engine()
-  const reconciler = new OrderKeeper({ engine: () => target, fencing: () => undefined })
+  const reconciler = new EngineReconciler({ engine: () => target, fencing: () => undefined })
   expect(await reconciler.reconcile(new Map([[E, DESIRED]]))).toBe(0)
   expect(await target.orders()).toBeUndefined()
 })
--- a/daemon/fleet/order_keeper.ts
+++ b/daemon/fleet/order_keeper.ts
@@ -21,7 +21,7 @@
  * Some engines ignore fencing numbers, so a delayed order of a former lease holder can overwrite the current holder's. This cannot be prevented;
  * the next round detects it by reading the state back and repeats the order. Orders contain the complete state, so repeating one is safe.
  */
-export class OrderKeeper {
+export class EngineReconciler {
   readonly #options: EngineReconcilerOptions
 
   constructor (options: EngineReconcilerOptions) {
--- a/daemon/limits/account_limits.ts
+++ b/daemon/limits/account_limits.ts
@@ -209,7 +209,7 @@
   }
 
   #keeperInput (): { now: number, all: number } {
-    return { now: steadyNow(), all: this.#options.fleet.all }
+    return { now: steadyNow(), all: this.#options.fleet.hostCount }
   }
 
   #vote (): void {
--- a/daemon/once/claims.ts
+++ b/daemon/once/claims.ts
@@ -74,7 +74,7 @@
   #ownerOf (shard: number): Member | undefined {
     let owner: Member | undefined
     let highest = -1
-    for (const member of this.#options.membership.working) {
+    for (const member of this.#options.membership.acceptingWork) {
       const rank = this.#options.hash(`once/${shard}/${member.id}`)
       if (rank <= highest) continue
       highest = rank
--- a/daemon/peers/fleet_size.ts
+++ b/daemon/peers/fleet_size.ts
@@ -28,7 +28,7 @@
   }
 
   /** Current number of hosts, including this one. */
-  get all (): number {
+  get hostCount (): number {
     const { joined, core: { version } } = this.#membership
     const now = steadyNow()
     if (version !== this.#cached.version || now - this.#cached.atMs > RECOUNT_INTERVAL_MS) this.#cached = { version, atMs: now, hosts: this.#count(now) }
--- a/daemon/peers/lease_words.ts
+++ b/daemon/peers/lease_words.ts
@@ -14,7 +14,7 @@
 const RENEWED_TOPIC = 'lease-renewed'
 
 /** Sends and receives lease announcements over the links between daemons. */
-export class LeaseWords implements LeasePeers {
+export class LeaseAnnouncer implements LeasePeers {
   readonly #options: LeaseAnnouncerOptions
 
   constructor (options: LeaseAnnouncerOptions) {
--- a/daemon/peers/links.ts
+++ b/daemon/peers/links.ts
@@ -36,7 +36,7 @@
   /** Keeps links to exactly these addresses open; other outgoing links are closed once idle. */
   keep (addresses: readonly string[]): void
   /** Periodic maintenance: reconnects kept links that broke, probes silent links and closes idle ones. `now` is in milliseconds of the steady clock. */
-  tend (now: number): void
+  maintain (now: number): void
   /** Sends gossip; does nothing without a link. */
   gossip (to: DaemonId, gossip: Gossip): void
   /** Connects to a daemon unless a link is open already. */
--- a/daemon/peers/membership_task.ts
+++ b/daemon/peers/membership_task.ts
@@ -24,7 +24,7 @@
   metrics: Metrics
   random: () => number
   /** Name under which the daemon registers in the store; a name that is stable across restarts leaves no stale entries. Default: its id. */
-  registeredAs?: string
+  registrationName?: string
 }
 
 /** Called with each new fact and the daemon it came from. */
@@ -99,7 +99,7 @@
   get joined (): boolean { return this.#joined || this.#noPeersKnown }
 
   /** Daemons that accept new work, including this one unless it is draining. */
-  get working (): readonly Member[] { return this.#working.get(this.core.version, () => this.core.members.filter(acceptsWork)) }
+  get acceptingWork (): readonly Member[] { return this.#working.get(this.core.version, () => this.core.members.filter(acceptsWork)) }
 
   /** Daemons that can presumably be reached: up, draining or suspect. */
   get reachable (): readonly Member[] { return this.#reachable.get(this.core.version, () => this.core.members.filter(isPresumedAlive)) }
@@ -145,7 +145,7 @@
   }
 
   /** Publishes a fact to all daemons. */
-  tell (fact: Fact): void {
+  publishFact (fact: Fact): void {
     this.#applyEffects(this.core.setFact(fact, steadyNow()))
   }
 
@@ -155,7 +155,7 @@
   }
 
   /** Follows the chain of heirs to the first reachable daemon; undefined when there is none. */
-  holderOf (id: DaemonId): Member | undefined {
+  resolveHeir (id: DaemonId): Member | undefined {
     let member = this.core.member(id)
     for (let hops = 0; member && !isPresumedAlive(member) && member.heir !== undefined && hops < 8; hops++) member = this.core.member(member.heir)
     return member && isPresumedAlive(member) ? member : undefined
@@ -183,7 +183,7 @@
   #tick (): void {
     this.#applyEffects(this.core.tick(steadyNow()))
     if (++this.#ticks % PROBE_INTERVAL_TICKS === 0) this.#probeGone()
-    this.links.tend(steadyNow())
+    this.links.maintain(steadyNow())
     const counts = new Map<string, number>()
     for (const member of this.core.members) counts.set(member.state, (counts.get(member.state) ?? 0) + 1)
     this.#options.metrics.members.reset()
@@ -300,7 +300,7 @@
   }
 
   get #registrationKey (): string {
-    return `members/${this.#options.registeredAs ?? this.#options.self}`
+    return `members/${this.#options.registrationName ?? this.#options.self}`
   }
 
   async #unregister (): Promise<void> {
--- a/daemon/peers/peer_links.ts
+++ b/daemon/peers/peer_links.ts
@@ -96,7 +96,7 @@
     for (const address of addresses) this.#dial(address).catch(() => {})
   }
 
-  tend (now: number): void {
+  maintain (now: number): void {
     for (const address of this.#keptAddresses) this.#dial(address).catch(() => {})
     for (const link of this.#links.values()) {
       this.#checkSilence(link, now)
--- a/daemon/peers/peer_links_test.ts
+++ b/daemon/peers/peer_links_test.ts
@@ -112,7 +112,7 @@
   call.catch(() => {})
   let heard = 0
   await new Promise<void>((resolve) => silent.once('connection', (socket) => socket.on('message', () => { if (++heard === 2) resolve() })))
-  a.links.tend(steadyNow() + 6000)
+  a.links.maintain(steadyNow() + 6000)
   await expect(call).rejects.toThrow('connection lost')
 })
 
@@ -159,7 +159,7 @@
   a.links.keep([proxy.address])
   const tick = async (times: number) => {
     for (let i = 0; i < times; i++) {
-      a.links.tend(steadyNow())
+      a.links.maintain(steadyNow())
       await new Promise((resolve) => setTimeout(resolve, 40))
     }
   }
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -16,11 +16,11 @@
   /** This daemon's own record. */
   self (): Member
   /** Daemons that accept new work, including this one. */
-  working (): readonly Member[]
+  acceptingWork (): readonly Member[]
   hash: Hash32
   metrics: Metrics
   /** Time limit for a change to reach every daemon, in milliseconds: an endpoint that left may get new work for this long. */
-  newsMs: number
+  propagationMs: number
 }
 
 /** Long-poll request for the changes of a prefix after a version. */
@@ -63,11 +63,11 @@
   }
 
   /** How long a watch on the store itself may wait, in milliseconds. */
-  get watchWaitMs (): number { return this.#options.newsMs * WATCH_WAIT_FRACTION }
+  get watchWaitMs (): number { return this.#options.propagationMs * WATCH_WAIT_FRACTION }
 
   /** Returns a source for the objects of a prefix and starts serving the prefix to other daemons. */
   source (prefix: string): ObjectSource {
-    const { store, newsMs } = this.#options
+    const { store, propagationMs: newsMs } = this.#options
     const followed = new FollowedPrefix(prefix, { store, maxAgeMs: newsMs * MAX_AGE_FACTOR, fetchChanges: (after) => this.#fetchChanges(prefix, after) })
     this.#followed.set(prefix, followed)
     return followed
@@ -84,12 +84,12 @@
 
   #sources (): Member[] {
     const now = steadyNow()
-    const { self, working, hash } = this.#options
+    const { self, acceptingWork: working, hash } = this.#options
     return changeSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
   }
 
   async #fetchChangesFrom (daemon: Member, prefix: string, after: number): Promise<ChangesResponse | undefined> {
-    const { links, newsMs, metrics } = this.#options
+    const { links, propagationMs: newsMs, metrics } = this.#options
     const waitMs = newsMs * REQUEST_WAIT_FRACTION
     try {
       const response = await links.call(daemon, CHANGES_METHOD, { prefix, after, waitMs } satisfies ChangesRequest, { timeoutMs: 2 * waitMs }) as ChangesResponse
--- a/daemon/peers/store_relay_test.ts
+++ b/daemon/peers/store_relay_test.ts
@@ -64,7 +64,7 @@
       const links = this.network.join(member.id)
       await links.listen()
       const access = new StoreAccess(this.store)
-      const relay = new StoreRelay({ store: access, links, self: () => member, working: () => members.filter(({ state }) => state === 'up'), hash, metrics: createMetrics(), newsMs: PROPAGATION_MS })
+      const relay = new StoreRelay({ store: access, links, self: () => member, acceptingWork: () => members.filter(({ state }) => state === 'up'), hash, metrics: createMetrics(), propagationMs: PROPAGATION_MS })
       const follower = new StoreFollower({ store: relay.source(PREFIX), prefix: PREFIX, random: () => 0.5, waitMs: relay.watchWaitMs, onChange: (objects) => { node.keys = new Set(objects.keys()) } })
       const node: Node = { member, access, keys: new Set(), follower }
       follower.start()
--- a/daemon/peers/tally_task.ts
+++ b/daemon/peers/tally_task.ts
@@ -64,8 +64,8 @@
   }
 
   /** True when this daemon holds the totals of all daemons and may take the leases that need them. */
-  get keepsBooks (): boolean {
-    return this.bookkeepers.some(({ id }) => id === this.#options.self)
+  get isReplica (): boolean {
+    return this.replicas.some(({ id }) => id === this.#options.self)
   }
 
   /** Starts reporting. */
@@ -81,7 +81,7 @@
   }
 
   /** Brings the next report forward. */
-  tellSoon (): void {
+  reportSoon (): void {
     if (this.#promptReportScheduled || this.#timer === undefined) return
     this.#promptReportScheduled = true
     const everyMs = Math.max(PROMPT_REPORT_INTERVAL_MS, this.#options.membership.reachable.length * PROMPT_REPORT_INTERVAL_MS_PER_DAEMON)
@@ -104,7 +104,7 @@
 
   #report (): void {
     const entries = this.tally.takeChanges()
-    const replicas = this.bookkeepers.filter(({ id }) => id !== this.#options.self)
+    const replicas = this.replicas.filter(({ id }) => id !== this.#options.self)
     for (const id of this.#unackedReports.keys()) if (!replicas.some((member) => member.id === id)) this.#unackedReports.delete(id)
     for (const replica of replicas) this.#reportTo(replica, entries)
   }
@@ -128,11 +128,11 @@
   /** Resends all totals over a new link: messages on the previous one may be lost. */
   #onLink (to: DaemonId): void {
     this.#unackedReports.delete(to)
-    if (this.keepsBooks) this.#options.membership.links.post(to, SYNC_TOPIC, { sheets: this.tally.sheets() } satisfies TallySync)
+    if (this.isReplica) this.#options.membership.links.post(to, SYNC_TOPIC, { sheets: this.tally.sheets() } satisfies TallySync)
   }
 
   /** The daemons that hold the totals of all daemons, in order of preference for work that needs them. */
-  get bookkeepers (): Member[] {
+  get replicas (): Member[] {
     return this.#options.membership.rankedFor(REPLICA_JOB).slice(0, REPLICA_COUNT)
   }
 
--- a/daemon/request/broker.ts
+++ b/daemon/request/broker.ts
@@ -314,7 +314,7 @@
 
   #holderOf (id: RequestId) {
     const daemon = daemonOf(id)
-    const holder = daemon && this.#options.membership.holderOf(daemon)
+    const holder = daemon && this.#options.membership.resolveHeir(daemon)
     return holder && holder.id !== this.#options.self ? holder : undefined
   }
 
--- a/daemon/request/standby.ts
+++ b/daemon/request/standby.ts
@@ -65,7 +65,7 @@
   /** Returns the daemon that takes over from this one, by rendezvous hashing over daemons in other failure domains if there are any. */
   heir (): Member | undefined {
     const { membership, self, hash } = this.#options
-    const others = membership.working.filter((member) => member.id !== self)
+    const others = membership.acceptingWork.filter((member) => member.id !== self)
     const elsewhere = others.filter((member) => member.failureDomain !== membership.core.self.failureDomain)
     const candidates = elsewhere.length > 0 ? elsewhere : others
     return candidates.sort((a, b) => hash(`${self}/${b.id}`) - hash(`${self}/${a.id}`))[0]
--- a/daemon/rollout/rollout_follower.ts
+++ b/daemon/rollout/rollout_follower.ts
@@ -14,7 +14,7 @@
 export interface RolloutFollowerOptions {
   store: ObjectSource
   port: Pick<RolloutPort, 'prefix' | 'decode'>
-  membership: Pick<MembershipTask, 'tell' | 'onFact'>
+  membership: Pick<MembershipTask, 'publishFact' | 'onFact'>
   random: Random
   /** Long-poll timeout of a store watch, in milliseconds. */
   waitMs: number
@@ -88,7 +88,7 @@
   /** Applies a record that this daemon read or wrote itself, and gossips it to the others. */
   publish (record: RolloutRecord): void {
     this.#apply(record)
-    this.#options.membership.tell({ key: RECORD_FACT_PREFIX + record.order.pool, version: record.version, value: record })
+    this.#options.membership.publishFact({ key: RECORD_FACT_PREFIX + record.order.pool, version: record.version, value: record })
   }
 
   /** Whether a pool's new version compared worse while the verdict could not be stored. */
@@ -106,7 +106,7 @@
     const id = orderId(progress)
     if (this.#heldOrders.has(id)) return
     this.#applyHold(progress.order.pool, id)
-    this.#options.membership.tell({ key: HOLD_FACT_PREFIX + progress.order.pool, version: progress.orderedAtMs, value: id })
+    this.#options.membership.publishFact({ key: HOLD_FACT_PREFIX + progress.order.pool, version: progress.orderedAtMs, value: id })
   }
 
   #applyHold (pool: PoolName, id: string): void {
--- a/daemon/rollout/rollout_task_test.ts
+++ b/daemon/rollout/rollout_task_test.ts
@@ -150,7 +150,7 @@
       post: (to: DaemonId, topic: string, value: unknown) => this.#post(i, to, { topic, value }),
       onPost: (topic: string, take: PostHandler) => { handlers.set(topic, take) }
     }
-    const tallies = { tally, clock, tellSoon: () => {} }
+    const tallies = { tally, clock, reportSoon: () => {} }
     const gate = new VersionGate({ table, rollouts, tallies, links, hash: h32, metrics: createMetrics() })
     const fleet = this
     const lease = { get fencing () { return fleet.leaseHolders.has(i) && !fleet.daemons[i]!.frozen ? 1 : undefined }, fencingInOutage: undefined }
--- a/daemon/rollout/version_gate.ts
+++ b/daemon/rollout/version_gate.ts
@@ -13,7 +13,7 @@
 export interface VersionGateOptions {
   table: EndpointTable
   rollouts: Pick<RolloutFollower, 'records' | 'onChange' | 'isHeld'>
-  tallies: Pick<TallyTask, 'tally' | 'tellSoon'>
+  tallies: Pick<TallyTask, 'tally' | 'reportSoon'>
   links: Pick<Links, 'post' | 'onPost'>
   hash: Hash32
   metrics: Pick<Metrics, 'rolloutAnswers'>
@@ -134,7 +134,7 @@
   #addToTally (key: string): void {
     const { tallies } = this.#options
     tallies.tally.add(key, 1)
-    tallies.tellSoon()
+    tallies.reportSoon()
   }
 
   #unfinished (pool: PoolName): RolloutProgress | undefined {
--- a/standins/network.ts
+++ b/standins/network.ts
@@ -91,11 +91,11 @@
   keep (addresses: readonly string[]): void {
     this.#keep = addresses
     for (const address of this.#linked) if (!addresses.includes(address)) this.#linked.delete(address)
-    this.tend()
+    this.maintain()
   }
 
   /** Drops links whose peer is absent or partitioned off, and establishes the missing ones. */
-  tend (): void {
+  maintain (): void {
     for (const address of this.#keep) {
       const peer = this.#network.reach(this.id, address)
       if (!peer) this.#linked.delete(address)
