--- a/bench/_placing.ts
+++ b/bench/_placing.ts
@@ -108,7 +108,7 @@
   #daemon (i: number, hosts: readonly ListedHost[]): SimulatedDaemon {
     const id = as<DaemonId>(`d${i}`)
     const table = new EndpointTable({ self: id, hash })
-    table.listed(hosts)
+    table.applyHostList(hosts)
     const dispatcher = createSharedDispatcher({
       table,
       hash,
@@ -124,7 +124,7 @@
     setTimeout(() => {
       this.#loadAggregator.report(id, work, steadyNow())
       const others = this.#loadAggregator.loadsOfOthers(id, steadyNow())
-      setTimeout(() => table.othersWork(others), ONE_WAY_DELAY_MS)
+      setTimeout(() => table.applyOthersWork(others), ONE_WAY_DELAY_MS)
     }, ONE_WAY_DELAY_MS)
   }
 
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -81,7 +81,7 @@
 function run (arrivals: readonly Arrival[], kind: QueueKind, seed: number, clock: Clock): Outcome[] {
   const hash = (text: string) => text.length
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
-  table.listed(Array.from({ length: ENDPOINTS }, (_, i) => makeHost(i)))
+  table.applyHostList(Array.from({ length: ENDPOINTS }, (_, i) => makeHost(i)))
   const queue = (): RequestQueue<Placement> => (kind === 'fair' ? new FairQueue() : new FifoQueue())
   const dispatcher = new Dispatcher({ table, router: new TargetRouter({ random: seededRandom(seed) }), prefixes: new PrefixIndex(), queue })
   const cls = { ...toWorkClass(sessionConfig().classes[0]!, true), latency: { firstTokenMs: 1800, betweenTokensMs: 60, deadlineMs: DEADLINE_MS } }
--- a/daemon/daemon.ts
+++ b/daemon/daemon.ts
@@ -297,7 +297,7 @@
     service: asFunction(() => options.service ?? perEndpoint((view) => new HttpService({ url: view.address }))).singleton(),
     crashes: asFunction(({ metrics }: DaemonComponents) => new CrashWatch({ metrics, dial: options.dial ?? dial })).singleton(),
     quarantine: asFunction(({ crashes, membership, metrics }: DaemonComponents) => new QuarantineTask({ crashes, membership, metrics })).singleton(),
-    archive: asFunction(({ storeFor, membership, quarantine }: DaemonComponents) => new QuarantineArchive({ store: storeFor('quarantine'), quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
+    archive: asFunction(({ storeFor, membership, quarantine }: DaemonComponents) => new QuarantineArchive({ store: storeFor('quarantine'), quarantine, maintainsArchive: () => membership.isFirstFor('quarantine') })).singleton(),
     broker: asFunction(({ self, hash, hash64, settings, config, membership, claims, metrics, table, dispatcher, crashes, quarantine, engine, service }: DaemonComponents) => new Broker({
       self, hash, hash64, settings, config, membership, claims, metrics, ports: { table, dispatcher, crashes, quarantine }, engine, service
     })).singleton(),
--- a/daemon/duties/order_task_test.ts
+++ b/daemon/duties/order_task_test.ts
@@ -95,7 +95,7 @@
       this.tally.add(`demand/${POOL}`, engines * 100_000 / 4)
       const serving = this.table.all.filter((view) => view.leavingAtMs === undefined)
       const each = Math.min(this.slots, this.running / Math.max(1, serving.length))
-      this.table.othersWork(serving.map(({ id }) => [id, { running: each, unread: { urgent: 0, normal: 0, late: 0 } }]))
+      this.table.applyOthersWork(serving.map(({ id }) => [id, { running: each, unread: { urgent: 0, normal: 0, late: 0 } }]))
       await vi.advanceTimersByTimeAsync(250)
     }
   }
@@ -130,7 +130,7 @@
       this.#ordered.set(key, this.#ordered.get(key)! + 1)
     }
     this.#hosts.push(...added)
-    this.table.listed(this.#hosts)
+    this.table.applyHostList(this.#hosts)
   }
 
   #boot ({ failureDomain, reclaimable }: EndpointOrder): void {
@@ -148,7 +148,7 @@
         endpoint: { id: as<EndpointId>(id), pool: POOL, version: FIRST_VERSION, address: `10.0.0.1:${this.#number}`, speed: { batchSlots: this.slots, prefillTokensPerS: 100_000, betweenTokensMs: 1, betweenTokensPerStreamMs: 1, exportTokensPerS: 0, importTokensPerS: 0 } }
       })
     }
-    this.table.listed(this.#hosts)
+    this.table.applyHostList(this.#hosts)
   }
 }
 
--- a/daemon/endpoints/endpoint_follower.ts
+++ b/daemon/endpoints/endpoint_follower.ts
@@ -121,7 +121,7 @@
     const goneAtMs = steadyNow() + ASSUMED_NOTICE_MS
     table.departed(this.#appliedNamed(gone).map(({ id }) => as<HostId>(id)), { goneAtMs, version: this.#appliedVersion, signal: 'list' })
     this.#applied = new Map(listed.map((endpoint) => [endpoint.name, endpoint]))
-    table.listed(listed.map((endpoint) => this.#hostOf(endpoint)))
+    table.applyHostList(listed.map((endpoint) => this.#hostOf(endpoint)))
     for (const { id, leaving, entryVersion: version } of listed) {
       if (!leaving) continue
       const signal = leaving.inMs === undefined ? 'list' : 'notice'
--- a/daemon/endpoints/endpoint_follower_test.ts
+++ b/daemon/endpoints/endpoint_follower_test.ts
@@ -208,7 +208,7 @@
   const { table, follower } = follow(registry)
   await vi.advanceTimersByTimeAsync(10)
   const [endpoint] = table.candidates(POOL)
-  for (let i = 0; i < 60; i++) table.learnt(endpoint!.id, { predictedMs: 100, actualMs: 40 + i % 5 * 100, unreadTokens: i % 5 * 4000 })
+  for (let i = 0; i < 60; i++) table.recordFirstToken(endpoint!.id, { predictedMs: 100, actualMs: 40 + i % 5 * 100, unreadTokens: i % 5 * 4000 })
   expect(table.pace(POOL)!.msPerToken).toBeCloseTo(0.025, 2)
   expect(table.candidates(POOL).every((view) => view.firstTokenModel === table.pace(POOL) && view.chunkInterval !== undefined)).toBe(true)
   follower.stop()
--- a/daemon/endpoints/endpoint_table.ts
+++ b/daemon/endpoints/endpoint_table.ts
@@ -108,7 +108,7 @@
   }
 
   /** Limits new work to the endpoints for which the predicate holds; call again whenever its result changes. */
-  restrict (mayGetWork: (view: EndpointView) => boolean): void {
+  restrictTo (mayGetWork: (view: EndpointView) => boolean): void {
     this.#mayGetWork = mayGetWork
     this.#clearSelections()
   }
@@ -130,7 +130,7 @@
    *
    * The list lags behind the other signals: an endpoint that any of them reported as leaving stays so while the list still shows it as live, or it would get new work again.
    */
-  listed (hosts: readonly ListedHost[]): void {
+  applyHostList (hosts: readonly ListedHost[]): void {
     // An empty list means that the platform has not filled it yet: no fleet loses all hosts between two lists, and applying it would remove every endpoint.
     if (hosts.length === 0) return
     this.#listedAtMs = steadyNow()
@@ -221,7 +221,7 @@
   }
 
   /** Applies a load report that came with a response; it includes this daemon's own work. */
-  loaded (id: EndpointId, load: EndpointLoad): void {
+  applyLoadReport (id: EndpointId, load: EndpointLoad): void {
     const view = this.#views.get(id)
     if (!view) return
     this.#othersReportedAtMs = steadyNow()
@@ -232,7 +232,7 @@
   }
 
   /** Applies the load that the other daemons put on each endpoint; endpoints that are not mentioned have none. */
-  othersWork (loads: readonly EndpointWork[]): void {
+  applyOthersWork (loads: readonly EndpointWork[]): void {
     this.#othersReportedAtMs = steadyNow()
     const byEndpoint = new Map(loads)
     for (const view of this.#views.values()) view.others = byEndpoint.get(view.id) ?? noWork()
@@ -252,7 +252,7 @@
   }
 
   /** Records that an endpoint has processed the prompt of a request from this daemon. */
-  read (id: EndpointId, work: SentWork): void {
+  promptRead (id: EndpointId, work: SentWork): void {
     const view = this.#views.get(id)
     if (view) view.own.unread[work.lane] = Math.max(0, view.own.unread[work.lane] - work.tokens)
   }
@@ -264,7 +264,7 @@
   }
 
   /** Updates the speed estimates of an endpoint and its pool from the time of a first token. */
-  learnt (id: EndpointId, sample: FirstTokenSample): void {
+  recordFirstToken (id: EndpointId, sample: FirstTokenSample): void {
     const view = this.#views.get(id)
     if (!view) return
     view.latencyFactor = updateLatencyFactor(view.latencyFactor, sample)
@@ -272,7 +272,7 @@
   }
 
   /** Updates the estimates of the gap between stream pieces, of an endpoint and its pool. */
-  paused (id: EndpointId, pauseMs: number): void {
+  recordChunkInterval (id: EndpointId, pauseMs: number): void {
     const view = this.#views.get(id)
     const now = steadyNow()
     view?.chunkInterval?.learn(pauseMs, now)
@@ -288,23 +288,23 @@
   }
 
   /** Records that an endpoint sent data of any kind. */
-  heard (id: EndpointId): void {
+  recordActivity (id: EndpointId): void {
     const view = this.#views.get(id)
     if (view) view.heardAtMs = steadyNow()
   }
 
   /** When an endpoint last sent data, in milliseconds on the steady clock; `-Infinity` for an unknown endpoint. */
-  lastWordAtMs (id: EndpointId): number {
+  lastActivityAtMs (id: EndpointId): number {
     return this.#views.get(id)?.heardAtMs ?? -Infinity
   }
 
   /** Typical gap between stream pieces in an endpoint's pool, in milliseconds; undefined when none came recently. */
-  usualPauseMs (id: EndpointId): number | undefined {
+  typicalIntervalMs (id: EndpointId): number | undefined {
     return this.#views.get(id)?.poolChunkInterval?.intervalMs(steadyNow())
   }
 
   /** Stops sending work for a while to an endpoint that has requests but sends no data. */
-  silent (id: EndpointId): void {
+  markSilent (id: EndpointId): void {
     const view = this.#views.get(id)
     const now = steadyNow()
     if (!view || view.ejectedUntilMs > now) return
@@ -328,7 +328,7 @@
   }
 
   /** Whether an endpoint is leaving or unknown. Its failures say nothing about the other endpoints, so retries elsewhere don't risk a retry storm. */
-  isGone (id: EndpointId): boolean {
+  isLeavingOrGone (id: EndpointId): boolean {
     const view = this.#views.get(id)
     return !view || view.leavingAtMs !== undefined
   }
--- a/daemon/endpoints/endpoint_table_test.ts
+++ b/daemon/endpoints/endpoint_table_test.ts
@@ -25,20 +25,20 @@
   // Guards against rejected or misrouted requests: an endpoint that was leaving, failing and full restarts empty, and the daemon keeps the state of the
   // previous process.
   const table = tableOf()
-  table.listed([start(1000), other])
+  table.applyHostList([start(1000), other])
   table.started(FIRST, { lane: 'normal', tokens: 500 })
   for (let i = 0; i < 3; i++) table.failed(FIRST)
-  table.learnt(FIRST, { predictedMs: 10, actualMs: 400 })
+  table.recordFirstToken(FIRST, { predictedMs: 10, actualMs: 400 })
   table.leaving([as<HostId>(FIRST)], steadyNow() + 2000, 'notice')
   expect(idsOf(table)).toEqual(['i-2'])
-  table.listed([start(2000), other])
+  table.applyHostList([start(2000), other])
   expect(idsOf(table)).toEqual([SECOND, 'i-2'])
   expect(table.get(SECOND)).toMatchObject({ own: { running: 0 }, latencyFactor: 1, leavingAtMs: undefined, ejectedUntilMs: 0 })
 })
 
 test('a leaving signal for the previous process does not affect the next one', () => {
   const table = tableOf()
-  table.listed([start(2000), other])
+  table.applyHostList([start(2000), other])
   table.leaving([as<HostId>(FIRST)], steadyNow() + 2000, 'peer')
   expect(idsOf(table)).toEqual([SECOND, 'i-2'])
   table.leaving([as<HostId>(SECOND)], steadyNow() + 2000, 'peer')
@@ -47,10 +47,10 @@
 
 test('a stale list does not bring an older start back', () => {
   const table = tableOf()
-  table.listed([start(2000), other])
-  table.listed([start(1000), other])
+  table.applyHostList([start(2000), other])
+  table.applyHostList([start(1000), other])
   expect(idsOf(table)).toEqual(['i-2'])
-  table.listed([start(2000), other])
+  table.applyHostList([start(2000), other])
   expect(idsOf(table)).toEqual([SECOND, 'i-2'])
 })
 
@@ -59,14 +59,14 @@
   const table = tableOf()
   const replaced: EndpointId[] = []
   table.onReplaced((id) => replaced.push(id))
-  table.listed([start(1000), other])
+  table.applyHostList([start(1000), other])
   table.started(FIRST, { lane: 'normal', tokens: 500 })
-  table.listed([start(2000), other])
+  table.applyHostList([start(2000), other])
   expect(replaced).toEqual([FIRST])
   table.started(SECOND, { lane: 'normal', tokens: 100 })
   table.ended(FIRST)
   expect(table.get(SECOND)!.own).toMatchObject({ running: 1, unread: { normal: 100 } })
-  table.listed([start(2000), other])
+  table.applyHostList([start(2000), other])
   expect(table.get(FIRST)).toBeUndefined()
   expect(replaced).toEqual([FIRST])
 })
@@ -74,11 +74,11 @@
 test('an endpoint whose entry is gone or invalid gets no new work while its running work continues', () => {
   // Guards against requests to an endpoint that the registry no longer lists: as long as work ran there, it stayed a candidate.
   const table = tableOf()
-  table.listed([start(1000), other])
+  table.applyHostList([start(1000), other])
   table.started(FIRST, { lane: 'normal', tokens: 500 })
-  table.listed([other])
+  table.applyHostList([other])
   expect(idsOf(table)).toEqual(['i-2'])
   expect(table.get(FIRST)!.own.running).toBe(1)
-  table.listed([start(1000), other])
+  table.applyHostList([start(1000), other])
   expect(idsOf(table)).toEqual([FIRST, 'i-2'])
 })
--- a/daemon/endpoints/host_watch.ts
+++ b/daemon/endpoints/host_watch.ts
@@ -1,7 +1,7 @@
 /** Follows the platform's host list and reclaim notices. */
 import { CloudError, type Cloud, type ListedHost } from '../../endpoints/index.ts'
 import type { EndpointTable } from './endpoint_table.ts'
-import { shareLeavingNews } from './leaving_news.ts'
+import { shareDepartures } from './leaving_news.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 
@@ -32,7 +32,7 @@
   constructor (options: HostWatchOptions) {
     this.#options = options
     options.membership.links.handle('hosts', async () => this.#lastList)
-    shareLeavingNews(options.table, options.membership)
+    shareDepartures(options.table, options.membership)
     options.membership.onMember(() => { if (options.table.all.length === 0) this.#fetchFromPeers() })
   }
 
@@ -85,7 +85,7 @@
 
   #apply (hosts: ListedHost[]): void {
     this.#lastList = hosts
-    this.#options.table.listed(hosts)
+    this.#options.table.applyHostList(hosts)
     this.#options.onListed?.()
   }
 
--- a/daemon/endpoints/leaving_news.ts
+++ b/daemon/endpoints/leaving_news.ts
@@ -15,7 +15,7 @@
 const MAX_NOTICE_MS = 120_000
 
 /** Shares departures between this daemon's endpoint table and those of the other daemons. */
-export function shareLeavingNews (table: EndpointTable, membership: MembershipTask): void {
+export function shareDepartures (table: EndpointTable, membership: MembershipTask): void {
   membership.onFact(({ key, version, value }) => {
     if (key.startsWith(DEPARTED_PREFIX)) table.departed([hostOf(key, DEPARTED_PREFIX)], { goneAtMs: toSteadyClock(value as number), version, signal: 'peer' })
     else if (key.startsWith(LEAVING_PREFIX)) table.leaving([hostOf(key, LEAVING_PREFIX)], toSteadyClock(value as number), 'peer')
--- a/daemon/endpoints/leaving_news_test.ts
+++ b/daemon/endpoints/leaving_news_test.ts
@@ -7,7 +7,7 @@
 import type { FactListener, MembershipTask } from '../peers/membership_task.ts'
 import { EndpointFollower } from './endpoint_follower.ts'
 import { EndpointTable } from './endpoint_table.ts'
-import { shareLeavingNews } from './leaving_news.ts'
+import { shareDepartures } from './leaving_news.ts'
 
 const POOL = as<PoolName>('llm')
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f']
@@ -48,7 +48,7 @@
   constructor (name: string, { store, gossip }: { store: StandInStore, gossip: Gossip }) {
     const id = as<DaemonId>(name)
     this.table = new EndpointTable({ self: id, hash: (text) => text.length })
-    shareLeavingNews(this.table, gossip.membershipOf(id))
+    shareDepartures(this.table, gossip.membershipOf(id))
     const answer = async <T>(result: T): Promise<T> => {
       if (this.isRejected) throw new StoreError('Cannot reach store: rejected', { failure: 'not-applied' })
       return result
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -12,7 +12,7 @@
 import { UsageTask } from '../duties/usage_task.ts'
 import { EndpointFollower } from '../endpoints/endpoint_follower.ts'
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
-import { shareLeavingNews } from '../endpoints/leaving_news.ts'
+import { shareDepartures } from '../endpoints/leaving_news.ts'
 import { LeaseTask } from '../fleet/lease_task.ts'
 import { AccountLimits } from '../limits/account_limits.ts'
 import { CpuTimeLog } from '../log/index.ts'
@@ -143,7 +143,7 @@
     client: asFunction(({ config, fleet }: ProxyComponents) => new ExchangeClient({ connectionsTo: (view) => connectionsTo(view, config, fleet) })).singleton(),
     crashes: asFunction(({ metrics }: ProxyComponents) => new CrashWatch({ metrics, dial })).singleton(),
     quarantine: asFunction(({ crashes, membership, metrics }: ProxyComponents) => new QuarantineTask({ crashes, membership, metrics })).singleton(),
-    archive: asFunction(({ membership, quarantine }: ProxyComponents) => new QuarantineArchive({ store: platform.store, quarantine, keeps: () => membership.isFirstFor('quarantine') })).singleton(),
+    archive: asFunction(({ membership, quarantine }: ProxyComponents) => new QuarantineArchive({ store: platform.store, quarantine, maintainsArchive: () => membership.isFirstFor('quarantine') })).singleton(),
     loads: asFunction(({ self, membership, table, limits }: ProxyComponents) => new LoadTask({ self, membership, table, limits })).singleton(),
     rollouts: asFunction(rolloutComponents).singleton(),
     dispatcher: asFunction(({ table, random, fleet, rollouts }: ProxyComponents) => createSharedDispatcher({ table, hash, random, failureDomain: settings.failureDomain, sharers: () => fleet.hostCount, canaries: rollouts?.gate })).singleton(),
@@ -192,9 +192,9 @@
     })).singleton()
   })
   const components = container.cradle
-  shareLeavingNews(components.table, components.membership)
+  shareDepartures(components.table, components.membership)
   components.quarantine.onHeld(() => { for (const task of components.intake.open) task.quarantineChanged() })
-  components.rollouts?.gate.onLeaves((pool, version) => { for (const task of components.intake.open) task.moveOffVersion(pool, version) })
+  components.rollouts?.gate.onVersionEmptied((pool, version) => { for (const task of components.intake.open) task.moveOffVersion(pool, version) })
   components.table.onReplaced((id, { announced }) => {
     if (!announced) components.crashes.restarted(components.table.get(id)!)
     components.client.cut(id)
@@ -253,7 +253,7 @@
   const port = platform.rollouts
   const follower = new RolloutFollower({ store: relay.source(port.prefix), port, membership, random, waitMs: relay.watchWaitMs })
   const gate = new VersionGate({ table, rollouts: follower, tallies, links, hash, metrics })
-  const task = new RolloutTask({ self, port, rollouts: follower, gate, lease, table, tallies, links, exposure, newsMs: settings.registry.leavingMs, random })
+  const task = new RolloutTask({ self, port, rollouts: follower, gate, lease, table, tallies, links, exposure, propagationMs: settings.registry.leavingMs, random })
   return { follower, gate, task }
 }
 
--- a/daemon/peers/load_task.ts
+++ b/daemon/peers/load_task.ts
@@ -70,7 +70,7 @@
       this.#board.report(self, work, now)
       return this.#applyOthersWork(this.#board.loadsOfOthers(self, now))
     }
-    if (now - this.#othersReceivedAtMs > OTHERS_WORK_TTL_MS) table.othersWork([])
+    if (now - this.#othersReceivedAtMs > OTHERS_WORK_TTL_MS) table.applyOthersWork([])
     if (work.length === 0 && !this.#lastReportHadWork && now - this.#lastReportAtMs < IDLE_REPORT_INTERVAL_MS) return
     this.#lastReportAtMs = now
     this.#lastReportHadWork = work.length > 0
@@ -79,6 +79,6 @@
 
   #applyOthersWork (loads: readonly EndpointWork[]): void {
     this.#othersReceivedAtMs = steadyNow()
-    this.#options.table.othersWork(loads)
+    this.#options.table.applyOthersWork(loads)
   }
 }
--- a/daemon/quarantine/crash_watch.ts
+++ b/daemon/quarantine/crash_watch.ts
@@ -65,7 +65,7 @@
     const { id, view } = endpoint
     if (point === 'connect-refused' || point === 'endpoint-gone') this.gone(id)
     else if (view && isConnectionAborted(point)) this.lost(view, request())
-    else if (view && point === 'timeout-after-send') this.gaveUp(view, request())
+    else if (view && point === 'timeout-after-send') this.abandoned(view, request())
   }
 
   /** Records an attempt that the endpoint broke off without an error response, and dials the endpoint to see whether it crashed. */
@@ -81,7 +81,7 @@
   }
 
   /** Records an attempt that this daemon abandoned before an answer. Its connection is closed, so it cannot show a crash of the endpoint later. */
-  gaveUp (view: EndpointView, request: Fingerprint): void {
+  abandoned (view: EndpointView, request: Fingerprint): void {
     const unfinished = this.#unfinishedAt(view)
     if (!unfinished) return
     unfinished.abandoned.set(request, steadyNow())
--- a/daemon/quarantine/crash_watch_test.ts
+++ b/daemon/quarantine/crash_watch_test.ts
@@ -68,9 +68,9 @@
 
 test('a request abandoned shortly before its endpoint crashed counts as in flight', () => {
   const { watch, crashes } = start('accepted')
-  watch.gaveUp(viewOf(), A)
+  watch.abandoned(viewOf(), A)
   vi.advanceTimersByTime(3000)
-  watch.gaveUp(viewOf(), B)
+  watch.abandoned(viewOf(), B)
   watch.gone(FIRST)
   watch.gone(as('never used'))
   expect(crashes).toEqual([{ endpoint: FIRST, aboard: [B] }])
--- a/daemon/quarantine/quarantine_archive.ts
+++ b/daemon/quarantine/quarantine_archive.ts
@@ -11,7 +11,7 @@
   store: Pick<ObjectStore, 'list' | 'create' | 'remove'>
   quarantine: Pick<QuarantineTask, 'held' | 'mergeReports' | 'onHeld'>
   /** Whether this daemon is the one that maintains the archive. */
-  keeps (): boolean
+  maintainsArchive (): boolean
 }
 
 /** Stored value of one quarantined request. Times are wall-clock, as a daemon's steady clock means nothing after it has stopped. */
@@ -66,7 +66,7 @@
   }
 
   async #update (): Promise<void> {
-    const { keeps, quarantine, store } = this.#options
+    const { maintainsArchive: keeps, quarantine, store } = this.#options
     if (!keeps()) {
       this.#stored = undefined
       return
--- a/daemon/quarantine/quarantine_archive_test.ts
+++ b/daemon/quarantine/quarantine_archive_test.ts
@@ -16,7 +16,7 @@
   const quarantine = new Quarantine()
   const role = { keeps: true }
   const mergeReports = (reports: readonly CrashReport[]) => { quarantine.merge(reports) }
-  const archive = new QuarantineArchive({ store, quarantine: { get held () { return [...quarantine.held.values()] }, mergeReports, onHeld: () => {} }, keeps: () => role.keeps })
+  const archive = new QuarantineArchive({ store, quarantine: { get held () { return [...quarantine.held.values()] }, mergeReports, onHeld: () => {} }, maintainsArchive: () => role.keeps })
   const crashThreeEndpoints = () => { for (const endpoint of ['e1', 'e2', 'e3']) quarantine.crashed({ endpoint: as<EndpointId>(endpoint), aboard: [CRASHING] }, steadyNow()) }
   return { quarantine, archive, role, crashThreeEndpoints }
 }
--- a/daemon/request/dispatcher_test.ts
+++ b/daemon/request/dispatcher_test.ts
@@ -43,8 +43,8 @@
   const placedAt = new Set<EndpointId>()
   for (let seed = 1; seed <= 20; seed++) {
     const table = new EndpointTable({ self: as<DaemonId>('d'), hash })
-    table.listed([listed('failed', 1000), listed('other', 1000)])
-    table.listed([listed('failed', 2000), listed('other', 1000)])
+    table.applyHostList([listed('failed', 1000), listed('other', 1000)])
+    table.applyHostList([listed('failed', 2000), listed('other', 1000)])
     const dispatcher = createSharedDispatcher({ table, hash, random: seededRandom(seed), failureDomain: DOMAIN, sharers: () => 1 })
     dispatcher.place(placement({ avoid: [endpointId('failed', 1000)], placed: ({ id }) => placedAt.add(id) }))
   }
@@ -58,8 +58,8 @@
     const each = listed(name, 1000)
     return { ...each, endpoint: { ...each.endpoint, version } }
   }
-  table.listed([host('old', OLD), host('new', NEW)])
-  table.restrict(({ version }) => version === OLD)
+  table.applyHostList([host('old', OLD), host('new', NEW)])
+  table.restrictTo(({ version }) => version === OLD)
   let spent = 0
   const canaries = { canaries: () => table.ofVersion(POOL, NEW), spent: () => { spent++ } }
   const dispatcher = createSharedDispatcher({ table, hash, random: seededRandom(1), failureDomain: DOMAIN, sharers: () => 1, canaries })
--- a/daemon/request/endpoint_charge.ts
+++ b/daemon/request/endpoint_charge.ts
@@ -51,12 +51,12 @@
     const sent = this.#sent
     if (!sent || sent.prefilled) return
     sent.prefilled = true
-    this.#table.read(sent.endpoint, sent)
+    this.#table.promptRead(sent.endpoint, sent)
     if (!sent.predicted) return
     const { firstTokenMs: predictedMs, unreadTokens } = sent.predicted
     const tookMs = steadyNow() - sent.atMs
     this.onFirstAnswer(sent.endpoint, { tookMs, predictedMs })
-    this.#table.learnt(sent.endpoint, { predictedMs, actualMs: tookMs, unreadTokens })
+    this.#table.recordFirstToken(sent.endpoint, { predictedMs, actualMs: tookMs, unreadTokens })
   }
 
   /** Records that a piece of the stream arrived. */
@@ -64,9 +64,9 @@
     this.read()
     const sent = this.#sent
     if (!sent) return
-    this.#table.heard(sent.endpoint)
+    this.#table.recordActivity(sent.endpoint)
     const pauseMs = sent.pieces.record(steadyNow())
-    if (pauseMs !== undefined) this.#table.paused(sent.endpoint, pauseMs)
+    if (pauseMs !== undefined) this.#table.recordChunkInterval(sent.endpoint, pauseMs)
   }
 
   /** Records that the endpoint no longer works on the request. */
@@ -74,7 +74,7 @@
     const sent = this.#sent
     if (!sent) return
     this.#sent = undefined
-    if (!sent.prefilled) this.#table.read(sent.endpoint, sent)
+    if (!sent.prefilled) this.#table.promptRead(sent.endpoint, sent)
     this.#table.ended(sent.endpoint)
   }
 }
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -111,7 +111,7 @@
     if (endpoint === undefined || !this.mayRetryElsewhere || !canRetry(this.lifecycle, 'timeout-after-send')) return
     const now = steadyNow()
     const elsewhere = table.candidates(this.work.pool).some((view) => view.id !== endpoint && view.ejectedUntilMs <= now)
-    if (!elsewhere || !budget.tryWithdraw(table.isGone(endpoint))) return
+    if (!elsewhere || !budget.tryWithdraw(table.isLeavingOrGone(endpoint))) return
     this.attachment?.detach()
     this.ports.crashes.failed({ id: endpoint, view: table.get(endpoint) }, 'timeout-after-send', this.work.fingerprint)
     this.#recordFailure(endpoint, new AttemptError('Cannot wait: the attempt went silent', { point: 'timeout-after-send' }), { attempt, repeat: 'allowed' })
@@ -293,7 +293,7 @@
       },
       onEnd: (total) => this.#onAttemptEnd(endpoint, attempt, { total, head }),
       onError: (err) => this.#onAttemptError(attempt, endpoint, err),
-      onLoad: (load) => this.ports.table.loaded(endpoint, load)
+      onLoad: (load) => this.ports.table.applyLoadReport(endpoint, load)
     }
   }
 
@@ -337,11 +337,11 @@
     if (attempt !== this.lifecycle.attempt || this.lifecycle.phase !== 'running') return
     const { table } = this.ports
     const view = table.get(endpoint)
-    if (isEndpointReported(err.point)) table.heard(endpoint)
+    if (isEndpointReported(err.point)) table.recordActivity(endpoint)
     if (err.point === 'endpoint-leaving' && view) table.leaving([view.hostId], steadyNow() + ASSUMED_NOTICE_MS, 'refusal')
     // Spends from the budget only if the request could use the retry.
     const repeatable = this.mayRetryElsewhere && canRetry(this.lifecycle, err.point)
-    const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.tryWithdraw(table.isGone(endpoint)))
+    const retryGranted = repeatable && (this.#isFreeRetry(err.point) || this.ports.budget.tryWithdraw(table.isLeavingOrGone(endpoint)))
     this.ports.crashes.failed({ id: endpoint, view }, err.point, this.work.fingerprint)
     if (view && err.point === 'endpoint-error') this.ports.answers?.failed(view, this.work.cls.name)
     table.failed(endpoint)
@@ -369,7 +369,7 @@
       status: err.answer?.head.status,
       afterMs: steadyNow() - (this.#tracker.sentAtMs ?? this.acceptedAtMs),
       pieces: this.answer.length,
-      endpointLeaving: table.isGone(endpoint),
+      endpointLeaving: table.isLeavingOrGone(endpoint),
       ...(isConnectionAborted(err.point) && { fingerprint: this.work.fingerprint() }),
       repeat
     })
@@ -384,7 +384,7 @@
     this.attachment = undefined
     this.#tracker.end()
     const view = this.ports.table.get(endpoint)
-    if (view) this.ports.crashes.gaveUp(view, this.work.fingerprint())
+    if (view) this.ports.crashes.abandoned(view, this.work.fingerprint())
     if (!view || !this.lifecycle.traits.movable) return this.post({ type: 'stopped', attempt, confirmed: false })
     const from = this.answer.length
     this.#runner.stop(view, attempt, from).then((report) => {
--- a/daemon/request/request_task_test.ts
+++ b/daemon/request/request_task_test.ts
@@ -28,7 +28,7 @@
   const stopped: EndpointId[] = []
   const held = { forMs: undefined as number | undefined }
   const table = new EndpointTable({ self: as('d'), hash: (text) => text.length })
-  table.listed([{ hostId: VIEW.hostId, hostClass: 'any', failureDomain: VIEW.failureDomain, reclaimable: false, pricePerHour: 0, state: 'live', endpoint: { id: E1, pool: VIEW.pool, address: '', speed } }])
+  table.applyHostList([{ hostId: VIEW.hostId, hostClass: 'any', failureDomain: VIEW.failureDomain, reclaimable: false, pricePerHour: 0, state: 'live', endpoint: { id: E1, pool: VIEW.pool, address: '', speed } }])
   const task = new RequestTask<string>({
     work: { id: as('r'), account: as('a'), cls: toWorkClass(sessionConfig().classes[1]!, true), pool: VIEW.pool, demand: NO_TOKENS, claim: undefined, fingerprint: () => as<Fingerprint>('f') },
     runner: {
@@ -43,7 +43,7 @@
       dispatcher: { place: (placement: Placement) => { placements.push(placement) }, remove: () => {}, startQueued: () => {} } as Partial<Dispatcher> as Dispatcher,
       budget: { deposit: () => {}, tryWithdraw: () => true },
       metrics: createMetrics(),
-      crashes: { gaveUp: () => {} } as Partial<CrashWatch> as CrashWatch,
+      crashes: { abandoned: () => {} } as Partial<CrashWatch> as CrashWatch,
       quarantine: { heldForMs: () => held.forMs } as Partial<QuarantineTask> as QuarantineTask
     }
   })
--- a/daemon/request/stall_watch.ts
+++ b/daemon/request/stall_watch.ts
@@ -68,11 +68,11 @@
     const { runningAt: endpoint, progress } = request
     if (endpoint === undefined || !progress) return
     const lastActiveMs = progress.lastPieceAtMs ?? progress.sentAtMs
-    const maxSilenceMs = overdueAtMs(progress, { typicalIntervalMs: table.usualPauseMs(endpoint) }) - lastActiveMs
+    const maxSilenceMs = overdueAtMs(progress, { typicalIntervalMs: table.typicalIntervalMs(endpoint) }) - lastActiveMs
     const silentSinceMs = Math.max(lastActiveMs, this.#resumedAtMs)
     if (now < silentSinceMs + maxSilenceMs) return
-    if (now - Math.max(table.lastWordAtMs(endpoint), this.#resumedAtMs) >= maxSilenceMs) {
-      table.silent(endpoint)
+    if (now - Math.max(table.lastActivityAtMs(endpoint), this.#resumedAtMs) >= maxSilenceMs) {
+      table.markSilent(endpoint)
       request.handleStall()
     } else if (now >= silentSinceMs + maxSilenceMs * SINGLE_ATTEMPT_FACTOR) request.handleStall()
   }
--- a/daemon/request/stall_watch_test.ts
+++ b/daemon/request/stall_watch_test.ts
@@ -24,17 +24,17 @@
 function start (...streams: Stream[]) {
   const table = new EndpointTable({ self: as<DaemonId>('d'), hash: (text) => text.length })
   const speed = { batchSlots: 8, prefillTokensPerS: 1000, betweenTokensMs: 1, betweenTokensPerStreamMs: 0, exportTokensPerS: 0, importTokensPerS: 0 }
-  table.listed([SILENT, OTHER].map((id) => ({ hostId: as<HostId>(id), hostClass: 'llm', failureDomain: as('a'), reclaimable: true, pricePerHour: 0, state: 'live', endpoint: { id, pool: POOL, address: id, speed, learnsPace: true } })))
+  table.applyHostList([SILENT, OTHER].map((id) => ({ hostId: as<HostId>(id), hostClass: 'llm', failureDomain: as('a'), reclaimable: true, pricePerHour: 0, state: 'live', endpoint: { id, pool: POOL, address: id, speed, learnsPace: true } })))
   const watch = new StallWatch({ table, open: () => streams })
   watch.start()
   const piece = (stream: Stream) => {
     const now = steadyNow()
     if (stream.progress.lastPieceAtMs !== undefined) {
-      table.paused(stream.runningAt!, now - stream.progress.lastPieceAtMs)
+      table.recordChunkInterval(stream.runningAt!, now - stream.progress.lastPieceAtMs)
       stream.progress.longestPauseMs = now - stream.progress.lastPieceAtMs
     }
     stream.progress.lastPieceAtMs = now
-    table.heard(stream.runningAt!)
+    table.recordActivity(stream.runningAt!)
   }
   const usable = () => table.candidates(POOL).filter((view) => view.ejectedUntilMs <= steadyNow()).map(({ id }) => id)
   return { table, watch, piece, usable }
@@ -67,8 +67,8 @@
   stalled.runningAt = undefined
   vi.advanceTimersByTime(1100)
   expect(usable()).toEqual([SILENT, OTHER])
-  table.heard(SILENT)
-  expect(table.lastWordAtMs(SILENT)).toBe(steadyNow())
+  table.recordActivity(SILENT)
+  expect(table.lastActivityAtMs(SILENT)).toBe(steadyNow())
   watch.stop()
 })
 
--- a/daemon/rollout/rollout_task.ts
+++ b/daemon/rollout/rollout_task.ts
@@ -28,7 +28,7 @@
   links: Pick<Links, 'post' | 'onPost'>
   exposure: ExposureLimit
   /** Time within which every daemon learns of a change, in milliseconds. */
-  newsMs: number
+  propagationMs: number
   random: Random
 }
 
@@ -139,7 +139,7 @@
       newSlots: this.#slotsOf(progress.order.pool, progress.order.to),
       running: this.#runningInPool(progress.order.pool),
       runningAtOld: this.#runningAtOldVersion(progress, state),
-      propagationMs: this.#options.newsMs
+      propagationMs: this.#options.propagationMs
     })
     if (next) this.#write(record, next)
     else if (progress.stage === 'canary') this.#issueGrants(record, { progress, state, answers })
--- a/daemon/rollout/rollout_task_test.ts
+++ b/daemon/rollout/rollout_task_test.ts
@@ -131,8 +131,8 @@
   #daemon (i: number): FleetDaemon {
     const id = as<DaemonId>(`d${i}`)
     const table = new EndpointTable({ self: id, hash: h32 })
-    table.listed([...hosts(OLD), ...hosts(NEW)])
-    table.othersWork([])
+    table.applyHostList([...hosts(OLD), ...hosts(NEW)])
+    table.applyOthersWork([])
     const handlers = new Map<string, PostHandler>()
     const tally = new Tally(id)
     const clock = new SharedClock({ wallMs: 1e12, steadyMs: steadyNow() })
@@ -154,7 +154,7 @@
     const gate = new VersionGate({ table, rollouts, tallies, links, hash: h32, metrics: createMetrics() })
     const fleet = this
     const lease = { get fencing () { return fleet.leaseHolders.has(i) && !fleet.daemons[i]!.frozen ? 1 : undefined }, fencingInOutage: undefined }
-    const task = new RolloutTask({ self: id, port: this.store, rollouts, gate, lease, table, tallies, links, exposure: EXPOSURE_LIMIT, newsMs: PROPAGATION_MS, random: this.random })
+    const task = new RolloutTask({ self: id, port: this.store, rollouts, gate, lease, table, tallies, links, exposure: EXPOSURE_LIMIT, propagationMs: PROPAGATION_MS, random: this.random })
     task.start()
     return { id, partitioned: false, frozen: false, records, listeners, handlers, tally, table, gate, task }
   }
@@ -194,7 +194,7 @@
       for (const other of this.daemons) if (other.id !== id && !other.partitioned) other.tally.receive({ daemon: id, entries: tally.sheetOf(id) })
     }
     for (const { table } of this.daemons) {
-      table.othersWork(this.#loadOf(OLD, table).concat(this.#loadOf(NEW, table)))
+      table.applyOthersWork(this.#loadOf(OLD, table).concat(this.#loadOf(NEW, table)))
     }
   }
 
--- a/daemon/rollout/version_gate.ts
+++ b/daemon/rollout/version_gate.ts
@@ -51,7 +51,7 @@
     this.#options = options
     options.links.onPost(GRANT_TOPIC, ({ pool, grant }: GrantMessage, from) => this.acceptGrant(pool, grant, from))
     options.rollouts.onChange((pool) => this.#onChange(pool))
-    options.table.restrict((view) => this.#mayServe(view))
+    options.table.restrictTo((view) => this.#mayServe(view))
   }
 
   /** Drops all grants. */
@@ -66,7 +66,7 @@
   }
 
   /** Sets the listener that moves streams off a version that is being emptied. */
-  onLeaves (listener: (pool: PoolName, version: EndpointVersion) => void): void {
+  onVersionEmptied (listener: (pool: PoolName, version: EndpointVersion) => void): void {
     this.#onVersionEmptied = listener
   }
 
@@ -176,7 +176,7 @@
     if (progress?.stage === 'completed') this.#stableVersions.set(pool, progress.order.to)
     this.#rules.delete(pool)
     if (!progress || isFinal(progress)) this.#options.tallies.tally.forget((key) => key.startsWith(answerKeyPrefix(pool)))
-    this.#options.table.restrict((view) => this.#mayServe(view))
+    this.#options.table.restrictTo((view) => this.#mayServe(view))
     const { leaves } = this.#ruleOf(pool) ?? {}
     if (leaves !== undefined) this.#onVersionEmptied(pool, leaves)
   }
