--- a/cli/operator_actions.ts
+++ b/cli/operator_actions.ts
@@ -1,9 +1,9 @@
 /** Implementation of the operators' commands; loaded only when one of them runs. */
 import { configSchema, InvalidError, parseJsonc, type FieldChange } from '../core/config/index.ts'
-import { readText } from '../daemon/read_text.ts'
+import { readTextFile } from '../daemon/read_text.ts'
 import { settingsSchema } from '../daemon/settings.ts'
 import type { AuditRecord } from '../daemon/config/audit.ts'
-import type { InForce } from '../daemon/config/config_task.ts'
+import type { RevisionReach } from '../daemon/config/config_task.ts'
 import type { StatusReport } from '../daemon/status.ts'
 import { validatePlatformFile } from '../platform/index.ts'
 import { operatorCall, type OperatorTarget } from './operator_client.ts'
@@ -80,7 +80,7 @@
 /** Validates a settings or configuration file of either kind of daemon; its contents determine which one it is. */
 function validateFile (file: string | undefined, print: Print): void {
   const path = requireFile(file)
-  const text = readText(path)
+  const text = readTextFile(path)
   const found = validatePlatformFile(text, path) ?? validateDaemonFile(text, path)
   print(`${path}: valid ${found}`)
 }
@@ -92,16 +92,16 @@
 }
 
 async function showConfig (target: OperatorTarget, print: Print): Promise<void> {
-  const { revision, sure, reach, config } = await operatorCall(target, 'GET', '/config') as { revision: number, sure: boolean, reach: InForce, config: unknown }
+  const { revision, sure, reach, config } = await operatorCall(target, 'GET', '/config') as { revision: number, sure: boolean, reach: RevisionReach, config: unknown }
   print(`// revision ${revision}, in force on ${reach.daemons} of ${reach.of} daemons${sure ? '' : '; a newer one may exist, the store does not answer'}`)
   print(JSON.stringify(config, null, 2))
 }
 
 async function applyConfig (target: OperatorTarget, file: string | undefined, { base, print }: { base: number | undefined, print: Print }): Promise<void> {
   const path = requireFile(file)
-  const config = parseJsonc(configSchema, readText(path), path)
+  const config = parseJsonc(configSchema, readTextFile(path), path)
   const headers: Record<string, string> = base === undefined ? {} : { 'if-match': `"${base}"` }
-  const { revision, diff, reach } = await operatorCall(target, 'PUT', '/config', { body: config, headers }) as { revision: number, diff: FieldChange[], reach: InForce }
+  const { revision, diff, reach } = await operatorCall(target, 'PUT', '/config', { body: config, headers }) as { revision: number, diff: FieldChange[], reach: RevisionReach }
   for (const change of diff) print(`  ${change.path}: ${JSON.stringify(change.from)} -> ${JSON.stringify(change.to)}`)
   print(`revision ${revision} in force on ${reach.daemons} of ${reach.of} daemons`)
 }
--- a/daemon/api/operators_api.ts
+++ b/daemon/api/operators_api.ts
@@ -8,7 +8,7 @@
 import { StoreError } from '../../store/index.ts'
 import type { AuditFilter, AuditTrail } from '../config/audit.ts'
 import type { Broker } from '../request/broker.ts'
-import { ConfigConflictError, ConfigUnsureError, type ConfigTask, type InForce } from '../config/config_task.ts'
+import { ConfigConflictError, ConfigUnsureError, type ConfigTask, type RevisionReach } from '../config/config_task.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
 import type { Metrics } from '../metrics.ts'
 import type { QuarantineTask } from '../quarantine/index.ts'
@@ -93,7 +93,7 @@
 }
 
 /** Waits until all daemons report the revision as in force, or until {@linkcode PROPAGATION_TIMEOUT_MS} has passed. */
-async function inForce (config: ConfigTask, revision: number): Promise<InForce> {
+async function inForce (config: ConfigTask, revision: number): Promise<RevisionReach> {
   const endsAtMs = steadyNow() + PROPAGATION_TIMEOUT_MS
   for (;;) {
     const reach = config.reach(revision)
--- a/daemon/config/config_task.ts
+++ b/daemon/config/config_task.ts
@@ -44,7 +44,7 @@
 }
 
 /** How many of the live daemons (`of`) have a revision in force (`daemons`). */
-export interface InForce { revision: number, daemons: number, of: number }
+export interface RevisionReach { revision: number, daemons: number, of: number }
 
 const CONFIG_KEY = 'config/current'
 
@@ -100,7 +100,7 @@
   }
 
   /** Counts the daemons that have published the revision, or a newer one, as in force. */
-  reach (revision: number): InForce {
+  reach (revision: number): RevisionReach {
     const alive = this.#options.membership.core.members.filter((member) => member.state === 'up' || member.state === 'draining')
     return { revision, daemons: alive.filter((member) => member.revision >= revision).length, of: alive.length }
   }
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -272,7 +272,7 @@
       budget = new WindowBudget({
         windowMs: settings.repeats.windowMs,
         fraction: () => settings.repeats.ratio * RETRY_BUDGET_FRACTION,
-        extraRetries: () => settings.repeats.beside * RETRY_BUDGET_FRACTION / fleet.hostCount,
+        extraRetries: () => settings.repeats.extraRetries * RETRY_BUDGET_FRACTION / fleet.hostCount,
         initialExtraFraction: INITIAL_RETRY_FRACTION
       })
       budgets.set(pool, budget)
--- a/daemon/exchange/proxy_settings.ts
+++ b/daemon/exchange/proxy_settings.ts
@@ -26,7 +26,7 @@
   /** Time between SIGTERM and SIGKILL, in milliseconds. */
   graceMs: number
   /** Retry budget of all daemons in a window: a fraction of the requests (`ratio`) plus a fixed number (`extra`). */
-  repeats: { ratio: number, beside: number, windowMs: number }
+  repeats: { ratio: number, extraRetries: number, windowMs: number }
   quota: QuotaTolerance
   /** Time within which two holders of a lease must not act alternately, in milliseconds. */
   leaseMs: number
--- a/daemon/explain/explain_request.ts
+++ b/daemon/explain/explain_request.ts
@@ -1,5 +1,5 @@
 /** Reconstructs the history of one request from the daemons' logs, with the likely cause of its outcome. */
-import { describe, type RequestEvents } from '../log/index.ts'
+import { describeDecision, type RequestEvents } from '../log/index.ts'
 import { causeOf } from './_cause.ts'
 import type { DaemonLine, LogLine, RequestLine } from './log_lines.ts'
 
@@ -86,7 +86,7 @@
 }
 
 function describeRequestLine (line: RequestLine): string {
-  return describe(line.event, line.fields as RequestEvents[typeof line.event])
+  return describeDecision(line.event, line.fields as RequestEvents[typeof line.event])
 }
 
 function describeDaemonLine (line: DaemonLine): string {
--- a/daemon/log/describe.ts
+++ b/daemon/log/describe.ts
@@ -25,6 +25,6 @@
 }
 
 /** Returns a one-line description of a request event. */
-export function describe<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): string {
+export function describeDecision<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): string {
   return DESCRIBERS[event](fields)
 }
--- a/daemon/metrics.ts
+++ b/daemon/metrics.ts
@@ -25,11 +25,11 @@
     refused: counter('refused_total', 'Requests refused before anything ran, by status', ['status']),
     overQuota: counter('over_quota_total', 'Requests refused over their account\'s quota, by class', ['class']),
     attempts: counter('attempts_total', 'Attempts at endpoints by how they began', ['mode']),
-    attemptsFailed: counter('attempts_failed_total', 'Attempts that gave no whole answer, by how far they came', ['point']),
+    failedAttempts: counter('attempts_failed_total', 'Attempts that gave no whole answer, by how far they came', ['point']),
     firstPieces: counter('first_pieces_total', 'First tokens and plain answers, by whether they came within their target', ['class', 'within_target']),
     endpointCrashes: counter('endpoint_crashes_total', 'Endpoints that crashed while they had requests of this daemon', ['pool']),
     quarantined: gauge('quarantined_requests', 'Requests that are sent to no endpoint, since endpoints that ran them crashed'),
-    held: counter('held_total', 'Requests that were sent to no endpoint, since requests like them crashed those that ran them', ['class']),
+    quarantineRefusals: counter('held_total', 'Requests that were sent to no endpoint, since requests like them crashed those that ran them', ['class']),
     chunks: counter('chunks_total', 'Chunks from endpoints by what became of them', ['verdict']),
     moves: counter('moves_total', 'Streams on leaving endpoints by what was decided', ['action']),
     exportsFailed: counter('exports_failed_total', 'KV exports that failed'),
@@ -40,7 +40,7 @@
     rolloutAnswers: counter('rollout_answers_total', 'Answers while a version was rolled out, by version; `failed` where an endpoint said so itself', ['pool', 'version', 'failed']),
     peerBytes: counter('peer_bytes_total', 'Bytes between daemons', ['direction']),
     peerMessages: counter('peer_messages_total', 'Messages between daemons, several of one moment counted as one', ['direction']),
-    peerUnknown: counter('peer_unknown_messages_total', 'Messages of a kind this version does not know'),
+    unknownPeerMessages: counter('peer_unknown_messages_total', 'Messages of a kind this version does not know'),
     handedOver: counter('handed_over_total', 'Streams handed to another daemon while draining'),
     open: gauge('open_requests', 'Requests accepted and not finished'),
     queued: gauge('queued_requests', 'Requests that wait for an endpoint'),
@@ -48,10 +48,10 @@
     revision: gauge('config_revision', 'Revision of the configuration in force'),
     revisionSure: gauge('config_revision_sure', '1 while the store or a peer confirmed the revision lately, else 0'),
     members: gauge('members', 'Daemons known, by state', ['state']),
-    newsAge: histogram('store_news_age_ms', 'Age of what another daemon told of the store', { labelNames: ['prefix'], buckets: [50, 200, 500, 1000, 2000, 4000, 6000] }),
+    storeChangeAge: histogram('store_news_age_ms', 'Age of what another daemon told of the store', { labelNames: ['prefix'], buckets: [50, 200, 500, 1000, 2000, 4000, 6000] }),
     quotaWait: histogram('quota_wait_ms', 'Time to hear whether an account\'s quota has room', { buckets: [1, 5, 20, 100, 500, 1500] }),
     firstToken: histogram('first_token_ms', 'Time to the first token', { labelNames: ['class'], buckets: [10, 50, 100, 250, 500, 1000, 1800, 4000] }),
-    wholeAnswer: histogram('whole_answer_ms', 'Time to the whole answer', { labelNames: ['class'], buckets: [50, 250, 1000, 5000, 20_000, 60_000] })
+    fullAnswer: histogram('whole_answer_ms', 'Time to the whole answer', { labelNames: ['class'], buckets: [50, 250, 1000, 5000, 20_000, 60_000] })
   }
 }
 
--- a/daemon/peers/peer_links.ts
+++ b/daemon/peers/peer_links.ts
@@ -296,7 +296,7 @@
       case 'part': return this.#pendingCalls.get(msg.call)?.part?.(msg.value)
       case 'reply': return this.#settleCall(msg.call, (pending) => pending.resolve(msg.value))
       case 'fail': return this.#settleCall(msg.call, (pending) => pending.reject(new PeerError(msg.error, { notSent: false })))
-      default: this.#options.metrics.peerUnknown.inc()
+      default: this.#options.metrics.unknownPeerMessages.inc()
     }
   }
 
--- a/daemon/peers/peer_links_test.ts
+++ b/daemon/peers/peer_links_test.ts
@@ -47,7 +47,7 @@
   newer.send(packr.pack({ kind: 'call', call: 1, method: 'none', args: null }))
   const answer = await new Promise<Buffer>((resolve) => newer.on('message', (data: Buffer) => { if ((packr.unpack(data) as { kind: string }).kind === 'fail') resolve(data) }))
   expect(packr.unpack(answer)).toMatchObject({ kind: 'fail', call: 1 })
-  expect((await a.metrics.peerUnknown.get()).values[0]!.value).toBe(1)
+  expect((await a.metrics.unknownPeerMessages.get()).values[0]!.value).toBe(1)
   newer.terminate()
 })
 
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -93,7 +93,7 @@
     const waitMs = newsMs * REQUEST_WAIT_FRACTION
     try {
       const response = await links.call(daemon, CHANGES_METHOD, { prefix, after, waitMs } satisfies ChangesRequest, { timeoutMs: 2 * waitMs }) as ChangesResponse
-      metrics.newsAge.observe({ prefix }, response.ageMs)
+      metrics.storeChangeAge.observe({ prefix }, response.ageMs)
       return response
     } catch (err) {
       this.#failedAtMs.set(daemon.id, steadyNow())
--- a/daemon/read_text.ts
+++ b/daemon/read_text.ts
@@ -6,7 +6,7 @@
  * Reads a UTF-8 text file.
  * @throws {InvalidError} If the file cannot be read.
  */
-export function readText (path: string): string {
+export function readTextFile (path: string): string {
   try {
     return readFileSync(path, 'utf8')
   } catch (err) {
--- a/daemon/request/request_decisions.ts
+++ b/daemon/request/request_decisions.ts
@@ -1,6 +1,6 @@
 /** Decision log of a request, kept for `status --explain`. */
 import type { RequestId } from '../../core/ids/index.ts'
-import { describe, logRequest, type RequestEvents } from '../log/index.ts'
+import { describeDecision, logRequest, type RequestEvents } from '../log/index.ts'
 import type { Decision } from './work.ts'
 
 /** Logs and keeps the decisions about one request in order. They are formatted as text only on demand. */
@@ -16,7 +16,7 @@
 
   /** Logs a decision and appends it to the list. */
   add<E extends keyof RequestEvents> (event: E, fields: RequestEvents[E]): void {
-    this.#decisions.push({ atMs: Date.now(), format: () => describe(event, fields) })
+    this.#decisions.push({ atMs: Date.now(), format: () => describeDecision(event, fields) })
     logRequest(this.#request, event, fields)
   }
 }
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -235,7 +235,7 @@
     const { metrics, quarantine } = this.ports
     const heldForMs = quarantine.heldForMs(this.work)
     if (heldForMs === undefined) return false
-    metrics.held.inc({ class: metrics.labelOf(this.work.cls.name) })
+    metrics.quarantineRefusals.inc({ class: metrics.labelOf(this.work.cls.name) })
     this.recordDecision('request-held', { fingerprint: this.work.fingerprint(), forMs: Math.round(heldForMs) })
     this.post({ type: 'quarantined', reason: QUARANTINED_REASON, retryAfterMs: heldForMs })
     return true
@@ -374,7 +374,7 @@
       repeat
     })
     if (!retryGranted) metrics.retriesDenied.inc({ class: metrics.labelOf(this.work.cls.name) })
-    metrics.attemptsFailed.inc({ point: err.point })
+    metrics.failedAttempts.inc({ point: err.point })
     this.#tracker.end()
     this.post({ type: 'failed', attempt, point: err.point, retryGranted })
   }
@@ -418,6 +418,6 @@
     const cls = metrics.labelOf(this.work.cls.name)
     const repeated = final.repeats !== undefined || final.otherBody === true
     metrics.requests.inc({ class: cls, outcome: repeated ? 'repeated' : final.outcome })
-    metrics.wholeAnswer.observe({ class: cls }, steadyNow() - this.acceptedAtMs)
+    metrics.fullAnswer.observe({ class: cls }, steadyNow() - this.acceptedAtMs)
   }
 }
--- a/daemon/settings.ts
+++ b/daemon/settings.ts
@@ -1,7 +1,7 @@
 /** Settings of one daemon process, read from a JSON file with comments. */
 import { z } from 'zod'
 import { parseJsonc } from '../core/config/index.ts'
-import { readText } from './read_text.ts'
+import { readTextFile } from './read_text.ts'
 
 const PORT = z.number().int().min(0).max(65_535)
 const IP_ADDRESS = z.string().regex(/^(\d{1,3}\.){3}\d{1,3}$/, 'expected an IPv4 address')
@@ -35,5 +35,5 @@
  * @throws {InvalidError} If the file cannot be read or a field is invalid.
  */
 export function loadSettings (path: string): Settings {
-  return parseJsonc(settingsSchema, readText(path), path)
+  return parseJsonc(settingsSchema, readTextFile(path), path)
 }
--- a/demo/deployments.ts
+++ b/demo/deployments.ts
@@ -1,7 +1,7 @@
 /** Small versions of both deployments: failure domains, host classes, endpoints and the work that arrives. */
 import { fileURLToPath } from 'node:url'
 import { configSchema, parseJsonc, type Config } from '../core/config/index.ts'
-import { readText } from '../daemon/read_text.ts'
+import { readTextFile } from '../daemon/read_text.ts'
 import type { HostClass } from '../standins/index.ts'
 
 /** One kind of request that callers send. */
@@ -35,7 +35,7 @@
 /** Reads the example configuration of a deployment. */
 export function exampleConfig (name: string): Config {
   const path = fileURLToPath(new URL(`../examples/${name}.config.jsonc`, import.meta.url))
-  return parseJsonc(configSchema, readText(path), path)
+  return parseJsonc(configSchema, readTextFile(path), path)
 }
 
 /** Council tax claims: six model servers and three servers of the status service. */
