--- a/cli/main.ts
+++ b/cli/main.ts
@@ -24,7 +24,7 @@
   })
 
 async function servePlatformDaemon (path: string): Promise<void> {
-  const { loadPlatformSettings, proxySettings, servePlatform } = await import('../platform/index.ts')
+  const { loadPlatformSettings, toProxySettings: proxySettings, servePlatform } = await import('../platform/index.ts')
   const { watchSettings } = await import('./settings_watch.ts')
   const settings = loadPlatformSettings(path)
   const serving = servePlatform(settings)
--- a/cli/serve_test.ts
+++ b/cli/serve_test.ts
@@ -4,7 +4,7 @@
 import path from 'node:path'
 import { afterEach, expect, test } from 'vitest'
 import { freePorts } from '../platform/standins/free_ports.ts'
-import { Rig, answerWith, until } from '../platform/standins/rig.ts'
+import { Rig, respondWith, waitUntil } from '../platform/standins/rig.ts'
 
 let rig: Rig | undefined
 let child: ChildProcess | undefined
@@ -17,7 +17,7 @@
 /** Starts a daemon by the command line in a separate process, on a platform with one endpoint. */
 async function startDaemon () {
   rig = await Rig.start({ daemons: 0 })
-  await rig.endpoint('desk', (req) => answerWith(req, 200, 'served'))
+  await rig.endpoint('desk', (req) => respondWith(req, 200, 'served'))
   const [callers, readiness, peers, monitor] = await freePorts(4)
   const at = (port: number | undefined) => `127.0.0.1:${port}`
   const settings = {
@@ -39,7 +39,7 @@
   child.stdout!.on('data', (part) => { output += String(part) })
   const exited = new Promise<number | null>((resolve) => child!.on('exit', resolve))
   const status = () => fetch(`http://${at(readiness)}/readyz`).then((res) => res.status, () => 0)
-  await until(async () => await status() === 200)
+  await waitUntil(async () => await status() === 200)
   return { write, status, exited, events: () => output.split('\n').filter((line) => line.startsWith('{')).map((line) => JSON.parse(line) as Record<string, unknown>) }
 }
 
@@ -48,11 +48,11 @@
   const { write, status, exited, events } = await startDaemon()
   const seen = (event: string) => events().filter((line) => line.event === event)
   child!.kill('SIGHUP')
-  await until(() => seen('settings-read').length === 1)
+  await waitUntil(() => seen('settings-read').length === 1)
   write({ seeds: ['127.0.0.1:9'] })
-  await until(() => seen('settings-read').some(({ changed }) => String(changed) === 'seeds'))
+  await waitUntil(() => seen('settings-read').some(({ changed }) => String(changed) === 'seeds'))
   write({ store: 'nowhere' })
-  await until(() => seen('settings-refused').length > 0)
+  await waitUntil(() => seen('settings-refused').length > 0)
   expect(seen('settings-refused')[0]!.problems).toEqual([expect.stringContaining('store')])
   expect(await status()).toBe(200)
   child!.kill('SIGTERM')
