--- a/bench/overhead.ts
+++ b/bench/overhead.ts
@@ -5,7 +5,7 @@
 import { Daemon } from '../daemon/daemon.ts'
 import { settingsSchema } from '../daemon/settings.ts'
 import { adunniLevy } from '../demo/deployments.ts'
-import { DEMO_SECRET, until } from '../demo/platform.ts'
+import { DEMO_SECRET, waitUntil } from '../demo/platform.ts'
 import type { LoadRequest, LoadReport } from './_overhead_worker.ts'
 import { quantile, round, type Bench, type Figures } from './bench.ts'
 
@@ -54,7 +54,7 @@
   })
   const daemon = await Daemon.start({ settings, seed })
   await daemon.config.apply(adunniLevy().config, { operator: 'bench' })
-  await until(() => daemon.ready)
+  await waitUntil(() => daemon.ready)
   return daemon
 }
 
--- a/daemon/config/config_follower.ts
+++ b/daemon/config/config_follower.ts
@@ -71,7 +71,7 @@
       ...(options.waitMs !== undefined && { waitMs: options.waitMs }),
       pauseMs: () => (this.watchesStore ? 0 : POLL_MS * (0.75 + options.random() / 2)),
       onChange: (objects) => this.#handleValue(objects.get(options.key)?.value, 'store'),
-      onReach: (reached, why) => {
+      onReachabilityChange: (reached, why) => {
         metrics.revisionSure.set(reached ? 1 : 0)
         if (reached) log('store-back', { what: 'config' })
         else log('store-lost', { what: 'config', why, lastAnswerAgeMs: this.confirmedAgeMs })
@@ -84,12 +84,12 @@
 
   /** Milliseconds since the store last confirmed that no newer revision exists; undefined if it never has. */
   get confirmedAgeMs (): number | undefined {
-    const { confirmedAtMs } = this.#follower
-    return confirmedAtMs === -Infinity ? undefined : steadyNow() - confirmedAtMs
+    const { lastAnswerAtMs } = this.#follower
+    return lastAnswerAtMs === -Infinity ? undefined : steadyNow() - lastAnswerAtMs
   }
 
   /** True if the store has recently confirmed that no newer revision exists. */
-  get sure (): boolean { return steadyNow() - this.#follower.confirmedAtMs < CONFIRMATION_TTL_MS }
+  get sure (): boolean { return steadyNow() - this.#follower.lastAnswerAtMs < CONFIRMATION_TTL_MS }
 
   /** True if this daemon is one of the few in its failure domain that watch the store. */
   get watchesStore (): boolean {
--- a/daemon/config/config_task.ts
+++ b/daemon/config/config_task.ts
@@ -6,7 +6,7 @@
 } from '../../core/config/index.ts'
 import type { DaemonId } from '../../core/ids/index.ts'
 import type { Hash32 } from '../../core/routing/index.ts'
-import { isStoreFailure, writeSurely, type Marked, type ObjectStore, type StoredObject } from '../../store/index.ts'
+import { isStoreFailure, writeAndVerify, type TaggedValue, type ObjectStore, type StoredObject } from '../../store/index.ts'
 import type { AuditTrail } from './audit.ts'
 import { ConfigFollower } from './config_follower.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
@@ -56,7 +56,7 @@
 
   constructor (options: ConfigTaskOptions) {
     this.#options = options
-    this.#follower = new ConfigFollower({ ...options, key: CONFIG_KEY, decode: (value) => (JSON.parse(value) as Marked<AcceptedConfig>).data })
+    this.#follower = new ConfigFollower({ ...options, key: CONFIG_KEY, decode: (value) => (JSON.parse(value) as TaggedValue<AcceptedConfig>).data })
     this.#follower.onChange(() => this.#auditChanges())
   }
 
@@ -116,13 +116,13 @@
       if (result.found) this.#follower.adopt(result.found.value, 'store')
       throw new ConfigConflictError(result.data, config)
     }
-    this.#follower.adopt(JSON.stringify({ writeId: id, data: next } satisfies Marked<AcceptedConfig>), 'operator')
+    this.#follower.adopt(JSON.stringify({ writeId: id, data: next } satisfies TaggedValue<AcceptedConfig>), 'operator')
     return next
   }
 
   async #write (next: AcceptedConfig, options: { id: string, version: number }) {
     try {
-      return await writeSurely(this.#options.store, CONFIG_KEY, { writeId: options.id, data: next, version: options.version })
+      return await writeAndVerify(this.#options.store, CONFIG_KEY, { writeId: options.id, data: next, version: options.version })
     } catch (err) {
       if (isStoreFailure(err, 'unsure')) throw new ConfigUnsureError('Cannot tell whether the configuration was accepted: the store does not answer; see `config show` later', { cause: err })
       throw err
@@ -145,5 +145,5 @@
 }
 
 function parseAccepted (object: StoredObject): AcceptedConfig {
-  return (JSON.parse(object.value) as Marked<AcceptedConfig>).data
+  return (JSON.parse(object.value) as TaggedValue<AcceptedConfig>).data
 }
--- a/daemon/duties/usage_task.ts
+++ b/daemon/duties/usage_task.ts
@@ -4,7 +4,7 @@
 import { steadyNow } from '../../core/time/index.ts'
 import { UsageLedger, type WindowCounts } from '../../core/usage/index.ts'
 import { DutyError, type Duties } from '../../endpoints/index.ts'
-import { StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
+import { StoreError, writeAndVerify, type TaggedValue, type ObjectStore } from '../../store/index.ts'
 import type { LeaseTask } from '../fleet/lease_task.ts'
 import { log } from '../log/index.ts'
 import type { TallyTask } from '../peers/tally_task.ts'
@@ -108,12 +108,12 @@
   async #persistReports (last: number): Promise<WindowCounts[]> {
     const { store } = this.#options
     const found = await store.get(REPORTS_KEY)
-    const written = found ? (JSON.parse(found.value) as Marked<WindowCounts[]>).data : []
+    const written = found ? (JSON.parse(found.value) as TaggedValue<WindowCounts[]>).data : []
     const from = written.length > 0 ? written.at(-1)!.window + 1 : last
     if (from > last) return written
     const missing = this.#ledger.counts(Math.max(from, last - RETAINED_WINDOWS + 1), last)
     const data = [...written, ...missing].slice(-RETAINED_WINDOWS)
-    const result = await writeSurely(store, REPORTS_KEY, { writeId: randomUUID(), data, version: found?.version ?? 0 })
+    const result = await writeAndVerify(store, REPORTS_KEY, { writeId: randomUUID(), data, version: found?.version ?? 0 })
     return result.applied ? data : result.data ?? []
   }
 }
--- a/daemon/endpoints/endpoint_follower.ts
+++ b/daemon/endpoints/endpoint_follower.ts
@@ -63,9 +63,9 @@
       random: options.random,
       ...(options.waitMs !== undefined && { waitMs: options.waitMs }),
       onChange: (objects, news) => this.#onAnswer(objects, news.version),
-      onReach: (reached, why) => {
+      onReachabilityChange: (reached, why) => {
         if (reached) log('store-back', { what: 'endpoints' })
-        else log('store-lost', { what: 'endpoints', why, lastAnswerAgeMs: this.#follower.listed ? steadyNow() - this.#follower.confirmedAtMs : undefined })
+        else log('store-lost', { what: 'endpoints', why, lastAnswerAgeMs: this.#follower.listed ? steadyNow() - this.#follower.lastAnswerAtMs : undefined })
       }
     })
   }
@@ -83,7 +83,7 @@
 
   #onAnswer (objects: ReadonlyMap<string, StoredObject>, version: number): void {
     const listed = this.#decodeAll(objects)
-    const vanished = this.#lapsedEntries.update({ entries: this.#entryStates(objects, listed), version, afterFailure: !this.#follower.reached, now: steadyNow() })
+    const vanished = this.#lapsedEntries.update({ entries: this.#entryStates(objects, listed), version, afterFailure: !this.#follower.reachable, now: steadyNow() })
     this.#logHeld(vanished, listed)
     this.#appliedVersion = version
     this.#apply([...listed.values(), ...this.#appliedNamed(this.#lapsedEntries.held)], vanished.gone)
@@ -139,7 +139,7 @@
     const { untilMs } = this.#lapsedEntries
     if (untilMs === undefined) return
     clearTimeout(this.#expiryTimer)
-    this.#expiryTimer = setTimeout(() => { if (this.#follower.reached) this.#expireHeld() }, untilMs - steadyNow() + TIMER_MARGIN_MS)
+    this.#expiryTimer = setTimeout(() => { if (this.#follower.reachable) this.#expireHeld() }, untilMs - steadyNow() + TIMER_MARGIN_MS)
   }
 
   #expireHeld (): void {
--- a/daemon/exchange/_proxy_components.ts
+++ b/daemon/exchange/_proxy_components.ts
@@ -140,7 +140,7 @@
     limits: asFunction(({ self, membership, fleet }: ProxyComponents) => new AccountLimits({ self, host: settings.name, tolerance: settings.quota, membership, fleet })).singleton(),
     table: asFunction(({ self }: ProxyComponents) => new EndpointTable({ self, hash })).singleton(),
     registry: asFunction(endpointFollower).singleton(),
-    client: asFunction(({ config, fleet }: ProxyComponents) => new ExchangeClient({ connectionsTo: (view) => connectionsTo(view, config, fleet) })).singleton(),
+    client: asFunction(({ config, fleet }: ProxyComponents) => new ExchangeClient({ maxConnections: (view) => connectionsTo(view, config, fleet) })).singleton(),
     crashes: asFunction(({ metrics }: ProxyComponents) => new CrashWatch({ metrics, dial })).singleton(),
     quarantine: asFunction(({ crashes, membership, metrics }: ProxyComponents) => new QuarantineTask({ crashes, membership, metrics })).singleton(),
     archive: asFunction(({ membership, quarantine }: ProxyComponents) => new QuarantineArchive({ store: platform.store, quarantine, maintainsArchive: () => membership.isFirstFor('quarantine') })).singleton(),
--- a/daemon/fleet/lease_task.ts
+++ b/daemon/fleet/lease_task.ts
@@ -3,7 +3,7 @@
 import type { DaemonId } from '../../core/ids/index.ts'
 import { currentFencing, nextLeaseAction, NO_LEASE, released, recordRead, recordSent, type LeaseRecord, type LeaseState } from '../../core/lease/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
-import { StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
+import { StoreError, writeAndVerify, type TaggedValue, type ObjectStore } from '../../store/index.ts'
 import { log } from '../log/index.ts'
 
 /** Sent by the holder to the other contenders after each write of the lease. */
@@ -214,14 +214,14 @@
 
   async #read (): Promise<void> {
     const found = await this.#options.store.get(this.#key)
-    const record = found && (JSON.parse(found.value) as Marked<LeaseRecord>).data
+    const record = found && (JSON.parse(found.value) as TaggedValue<LeaseRecord>).data
     this.#observe(found && record ? { record, version: found.version } : undefined)
   }
 
   async #write (record: LeaseRecord, version: number): Promise<void> {
     this.#state = recordSent(this.#state, record, steadyNow())
     const offsetMs = clockOffsetMs()
-    const result = await writeSurely(this.#options.store, this.#key, { writeId: record.renewal, data: record, version })
+    const result = await writeAndVerify(this.#options.store, this.#key, { writeId: record.renewal, data: record, version })
     if (!result.applied) return this.#observe(result.found && result.data ? { record: result.data, version: result.found.version } : undefined)
     if (record.fencing !== this.#state.record?.fencing) this.#raiseRequested = false
     this.#clockOffsetMs = offsetMs
--- a/daemon/once/shard_log.ts
+++ b/daemon/once/shard_log.ts
@@ -4,7 +4,7 @@
   EMPTY_HEAD, MERGE_THRESHOLD, SEAL_THRESHOLD, append, dropOld, resolveClaim, merge, mergeable, newestMs, seal,
   type Claim, type ClaimResult, type KeyHash, type Segment, type ShardHead
 } from '../../core/once/index.ts'
-import { isStoreFailure, StoreError, writeSurely, type Marked, type ObjectStore } from '../../store/index.ts'
+import { isStoreFailure, StoreError, writeAndVerify, type TaggedValue, type ObjectStore } from '../../store/index.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 
 /** Options of {@linkcode ShardLog}. */
@@ -120,7 +120,7 @@
 
   async #readHead (): Promise<void> {
     const found = await this.#store.get(this.#key)
-    const marked = found && JSON.parse(found.value) as Marked<ShardHead>
+    const marked = found && JSON.parse(found.value) as TaggedValue<ShardHead>
     await this.#loadHead(marked?.data ?? EMPTY_HEAD, found?.version ?? 0)
   }
 
@@ -192,7 +192,7 @@
   async #writeHead (data: ShardHead) {
     const version = this.#version!
     try {
-      return await writeSurely(this.#store, this.#key, { writeId: randomUUID(), data, version })
+      return await writeAndVerify(this.#store, this.#key, { writeId: randomUUID(), data, version })
     } catch (err) {
       if (isStoreFailure(err, 'unsure')) this.#version = undefined
       throw err
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -127,7 +127,7 @@
   /** Always reads the store: listings follow a start or a failure, when the copies of other daemons are least reliable. */
   async snapshot (): Promise<Snapshot> {
     const snapshot = await this.#trackFailure(this.#options.store.snapshot(this.#prefix))
-    this.#log.listed(snapshot)
+    this.#log.applyListing(snapshot)
     this.#markFresh(0)
     return snapshot
   }
@@ -135,12 +135,12 @@
   async changes (_prefix: string, { after, waitMs }: { after: number, waitMs: number }): Promise<Changes> {
     const response = await this.#options.fetchChanges(after)
     if (response) {
-      this.#log.changed(response)
+      this.#log.applyChanges(response)
       this.#markFresh(response.ageMs)
       return { ...response, checked: true }
     }
     const changes = await this.#trackFailure(this.#options.store.changes(this.#prefix, { after, waitMs }))
-    this.#log.changed(changes)
+    this.#log.applyChanges(changes)
     this.#markFresh(0)
     return changes
   }
--- a/daemon/peers/store_relay_test.ts
+++ b/daemon/peers/store_relay_test.ts
@@ -182,10 +182,10 @@
   store.faults.down = true
   store.cutWatches()
   await vi.advanceTimersByTimeAsync(2500)
-  expect(nodes.filter(({ follower }) => follower.reached)).toEqual([])
+  expect(nodes.filter(({ follower }) => follower.reachable)).toEqual([])
   store.faults.down = false
   await vi.advanceTimersByTimeAsync(2000)
-  expect(nodes.filter(({ follower }) => !follower.reached)).toEqual([])
+  expect(nodes.filter(({ follower }) => !follower.reachable)).toEqual([])
   await fleet.write('b')
   expect(await fleet.timeUntilKnown(['a', 'b'])).toBeLessThanOrEqual(100)
 })
--- a/daemon/rollout/rollout_follower.ts
+++ b/daemon/rollout/rollout_follower.ts
@@ -55,7 +55,7 @@
         for (const object of objects.values()) this.#decode(object)
         this.#removeDeleted(objects, version)
       },
-      onReach: (reached, why) => {
+      onReachabilityChange: (reached, why) => {
         if (reached) log('store-back', { what: 'rollouts' })
         else log('store-lost', { what: 'rollouts', why, lastAnswerAgeMs: undefined })
       }
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -63,7 +63,7 @@
     daemons.push(await Daemon.start({ settings, seed: options.seed + i }))
   }
   await daemons[0]!.config.apply(deployment.config, { operator: 'bootstrap' })
-  await until(() => daemons.every((daemon) => daemon.ready))
+  await waitUntil(() => daemons.every((daemon) => daemon.ready))
   const stopAll = async () => {
     await Promise.all(daemons.map((daemon) => daemon.kill()))
     await stop()
@@ -102,7 +102,7 @@
  * Waits until a condition holds.
  * @throws {Error} If it does not hold within `timeoutMs`.
  */
-export async function until (holds: () => boolean, timeoutMs = 10_000): Promise<void> {
+export async function waitUntil (holds: () => boolean, timeoutMs = 10_000): Promise<void> {
   const endsAtMs = Date.now() + timeoutMs
   while (!holds()) {
     if (Date.now() > endsAtMs) throw new Error('Cannot continue: the condition was not met in time')
--- a/endpoints/cloud.ts
+++ b/endpoints/cloud.ts
@@ -40,7 +40,7 @@
 }
 
 /** Properties of a host to start. */
-export interface HostWanted { hostClass: string, failureDomain: FailureDomain, pool: PoolName, reclaimable: boolean }
+export interface HostSpec { hostClass: string, failureDomain: FailureDomain, pool: PoolName, reclaimable: boolean }
 
 /** A kind of host that the cloud offers, and its current price. */
 export interface CloudOffer { hostClass: string, failureDomain: FailureDomain, reclaimable: boolean, pricePerHour: number, speed: EndpointSpeed }
@@ -51,7 +51,7 @@
   offers (): Promise<CloudOffer[]>
   /** Waits up to `waitMs` for notices with a serial greater than `after`. */
   notices (after: number, waitMs: number): Promise<ReclaimNotice[]>
-  start (wanted: HostWanted): Promise<HostId>
+  start (wanted: HostSpec): Promise<HostId>
   stop (host: HostId): Promise<void>
 }
 
--- a/endpoints/exchange/exchange.ts
+++ b/endpoints/exchange/exchange.ts
@@ -162,15 +162,15 @@
 
 function bodyHandlingOf (head: AnswerHead): BodyHandling {
   if (head.status >= SERVER_ERROR) return 'failure'
-  return head.status < REDIRECT && valueOf(head, 'content-type')?.startsWith('text/event-stream') ? 'events' : 'whole'
+  return head.status < REDIRECT && headerValue(head, 'content-type')?.startsWith('text/event-stream') ? 'events' : 'whole'
 }
 
 function isSelfDelimited (head: AnswerHead): boolean {
-  return head.status === NO_CONTENT || valueOf(head, 'content-length') !== undefined || valueOf(head, 'transfer-encoding') !== undefined
+  return head.status === NO_CONTENT || headerValue(head, 'content-length') !== undefined || headerValue(head, 'transfer-encoding') !== undefined
 }
 
 /** Returns the first value of a header. Header names are compared without regard to case; `name` must be in lower case. */
-export function valueOf (head: AnswerHead, name: string): string | undefined {
+export function headerValue (head: AnswerHead, name: string): string | undefined {
   return head.headers.find(([key]) => key.toLowerCase() === name)?.[1]
 }
 
--- a/endpoints/exchange/exchange_client.ts
+++ b/endpoints/exchange/exchange_client.ts
@@ -7,7 +7,7 @@
 /** Options of {@linkcode ExchangeClient}. */
 export interface ExchangeClientOptions {
   /** Returns the maximum number of connections that this daemon may have to an endpoint. */
-  connectionsTo (view: EndpointView): number
+  maxConnections (view: EndpointView): number
   /** Called for each connection that is opened. */
   onOpen?: (view: EndpointView) => void
 }
@@ -54,7 +54,7 @@
   }
 
   #poolOf (view: EndpointView): ConnectionPool {
-    const maxConnections = this.#options.connectionsTo(view)
+    const maxConnections = this.#options.maxConnections(view)
     let pool = this.#pools.get(view.id)
     if (!pool) {
       pool = new ConnectionPool({ address: view.address, maxConnections, onOpen: () => this.#options.onOpen?.(view) })
--- a/endpoints/exchange/exchange_dialect.ts
+++ b/endpoints/exchange/exchange_dialect.ts
@@ -5,7 +5,7 @@
 import type { AdmittedRequest, ProxiedRequest } from './proxied_request.ts'
 
 /** Values that one attempt adds to the caller's request. */
-export interface AttemptFacts {
+export interface AttemptContext {
   view: EndpointView
   /** Milliseconds within which the endpoint must answer. */
   deadlineInMs: number
@@ -16,7 +16,7 @@
 }
 
 /** What the headers of an endpoint's answer say about its attempt. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** Id of the request that the answer belongs to. */
   requestId: string | undefined
   /** True if the answer is signed by the endpoint and its body has no content encoding. */
@@ -40,7 +40,7 @@
    */
   readRequest (req: IncomingMessage): Omit<ProxiedRequest, 'body'>
   /** Returns the headers of one attempt at an endpoint. */
-  attemptHeaders (req: AdmittedRequest, attempt: AttemptFacts): Header[]
+  attemptHeaders (req: AdmittedRequest, attempt: AttemptContext): Header[]
   /** Parses the head of an endpoint's answer. */
-  readAnswer (head: AnswerHead): AnswerFacts
+  readAnswer (head: AnswerHead): AnswerMetadata
 }
--- a/endpoints/exchange/exchange_test.ts
+++ b/endpoints/exchange/exchange_test.ts
@@ -7,7 +7,7 @@
 import { delay } from '../../core/time/index.ts'
 import { RawEndpoint, type RawRequest } from '../../standins/index.ts'
 import type { Attachment, AttemptSink } from '../attempt.ts'
-import { ExchangeClient, ExchangeRunner, valueOf, type AdmittedRequest, type ExchangeDialect } from './index.ts'
+import { ExchangeClient, ExchangeRunner, headerValue, type AdmittedRequest, type ExchangeDialect } from './index.ts'
 
 /** Recorded result of one attempt. */
 interface AttemptResult { head: AnswerHead | undefined, pieces: Array<{ offset: number, text: string }>, total: number | undefined, failed: FailurePoint | undefined, failure: AttemptError | undefined }
@@ -20,10 +20,10 @@
   readRequest () { throw new Error('not used here') },
   attemptHeaders: (req) => [['host', 'a.example'], ['id', req.id], ...req.headers],
   readAnswer: (head) => ({
-    requestId: valueOf(head, 'id'),
-    genuine: valueOf(head, 'signed') !== undefined && valueOf(head, 'content-encoding') === undefined,
-    notRun: valueOf(head, 'not-run') !== undefined,
-    otherEndpoint: valueOf(head, 'other') !== undefined
+    requestId: headerValue(head, 'id'),
+    genuine: headerValue(head, 'signed') !== undefined && headerValue(head, 'content-encoding') === undefined,
+    notRun: headerValue(head, 'not-run') !== undefined,
+    otherEndpoint: headerValue(head, 'other') !== undefined
   })
 }
 
@@ -47,7 +47,7 @@
   return { id: as(id), method: 'GET', target: '/x', host: 'a.example', headers: [], body: Buffer.alloc(0), credential: undefined, deadlineInMs: 1000, demand: undefined, resumeFrom: 0, account: undefined, ...change }
 }
 
-const clientOf = (maxConnections = 4) => new ExchangeClient({ connectionsTo: () => maxConnections })
+const clientOf = (maxConnections = 4) => new ExchangeClient({ maxConnections: () => maxConnections })
 
 function send (client: ExchangeClient, view: EndpointView, req: AdmittedRequest, from = 0): { ending: Promise<AttemptResult>, attachment: Attachment } {
   const ending: AttemptResult = { head: undefined, pieces: [], total: undefined, failed: undefined, failure: undefined }
--- a/endpoints/http_cloud.ts
+++ b/endpoints/http_cloud.ts
@@ -1,7 +1,7 @@
 /** Client of the platform's cloud API over HTTP. */
 import { request } from 'undici'
 import type { HostId } from '../core/ids/index.ts'
-import { CloudError, type Cloud, type CloudOffer, type HostWanted, type ListedHost, type ReclaimNotice } from './cloud.ts'
+import { CloudError, type Cloud, type CloudOffer, type HostSpec, type ListedHost, type ReclaimNotice } from './cloud.ts'
 
 const TIMEOUT_MS = 3000
 
@@ -25,7 +25,7 @@
     return await this.#call('GET', `/notices?after=${after}&waitMs=${waitMs}`, { waitMs }) as ReclaimNotice[]
   }
 
-  async start (wanted: HostWanted): Promise<HostId> {
+  async start (wanted: HostSpec): Promise<HostId> {
     return (await this.#call('POST', '/hosts', { body: wanted }) as { hostId: HostId }).hostId
   }
 
--- a/standins/cloud.ts
+++ b/standins/cloud.ts
@@ -1,7 +1,7 @@
 /** Stand-in for the platform's cloud API: host prices, refused starts, reclaim notices and a delayed host list. */
 import { as, type FailureDomain, type HostId, type PoolName } from '../core/ids/index.ts'
 import type { EndpointSpeed } from '../core/routing/index.ts'
-import { CloudError, type Cloud, type CloudOffer, type HostWanted, type ListedHost, type ReclaimNotice } from '../endpoints/index.ts'
+import { CloudError, type Cloud, type CloudOffer, type HostSpec, type ListedHost, type ReclaimNotice } from '../endpoints/index.ts'
 import { StandInEngine } from './engine.ts'
 import type { Ledger } from './ledger.ts'
 import { StandInService } from './service.ts'
@@ -67,7 +67,7 @@
     return this.faults.silentNotices ? [] : ready()
   }
 
-  async start (wanted: HostWanted): Promise<HostId> {
+  async start (wanted: HostSpec): Promise<HostId> {
     if (wanted.reclaimable && this.faults.refuseIn.has(wanted.failureDomain)) {
       throw new CloudError(`Cannot start host: no capacity in ${wanted.failureDomain}`, { refused: true })
     }
@@ -125,7 +125,7 @@
     return [...this.#hosts.values()].reduce((sum, host) => sum + host.listed.pricePerHour * ((host.stoppedAtMs ?? now) - host.startedAtMs) / MS_PER_HOUR, 0)
   }
 
-  async #addHost (wanted: HostWanted, hostClass: HostClass): Promise<HostId> {
+  async #addHost (wanted: HostSpec, hostClass: HostClass): Promise<HostId> {
     const hostId = as<HostId>(`host-${wanted.failureDomain}-${this.#hosts.size + 1}`)
     const id = `${wanted.pool}-${hostId}`
     const endpoint = this.#createEndpoint(id, wanted.pool, hostClass.speed)
--- a/standins/cloud_api.ts
+++ b/standins/cloud_api.ts
@@ -1,6 +1,6 @@
 /** HTTP server for the platform's cloud API. */
 import Router from '@koa/router'
-import { CloudError, type Cloud, type HostWanted } from '../endpoints/index.ts'
+import { CloudError, type Cloud, type HostSpec } from '../endpoints/index.ts'
 import type { HostId } from '../core/ids/index.ts'
 import { createApplication, readJson, serve, type Listening } from './_serve.ts'
 
@@ -10,7 +10,7 @@
   router.get('/hosts', async (ctx) => { ctx.body = await cloud.hosts() })
   router.get('/offers', async (ctx) => { ctx.body = await cloud.offers() })
   router.get('/notices', async (ctx) => { ctx.body = await cloud.notices(Number(ctx.query.after), Number(ctx.query.waitMs)) })
-  router.post('/hosts', async (ctx) => { ctx.body = { hostId: await cloud.start(await readJson(ctx.req) as HostWanted) } })
+  router.post('/hosts', async (ctx) => { ctx.body = { hostId: await cloud.start(await readJson(ctx.req) as HostSpec) } })
   router.delete('/hosts/:id', async (ctx) => {
     await cloud.stop(ctx.params.id as HostId)
     ctx.body = {}
--- a/store/change_log.ts
+++ b/store/change_log.ts
@@ -42,7 +42,7 @@
   get version (): number | undefined { return this.#version }
 
   /** Applies a listing. */
-  listed ({ objects, version }: Snapshot): void {
+  applyListing ({ objects, version }: Snapshot): void {
     if (this.#version === undefined) this.#oldestAnswerable = version
     else this.#addGap(this.#version, version)
     const present = new Set(objects.map(({ key }) => key))
@@ -53,7 +53,7 @@
   }
 
   /** Applies changes that directly follow the version of the copy. */
-  changed ({ objects, removed, version }: Changes): void {
+  applyChanges ({ objects, removed, version }: Changes): void {
     this.#version = Math.max(this.#version ?? 0, version)
     for (const object of objects) this.#put(object)
     for (const key of removed) this.#remove(key, version)
--- a/store/change_log_test.ts
+++ b/store/change_log_test.ts
@@ -7,8 +7,8 @@
 
 test('since returns only the changes after the given version', () => {
   const log = new ChangeLog()
-  log.listed({ objects: [object('a', 3), object('b', 5)], version: 6 })
-  log.changed({ objects: [object('c', 8)], removed: ['a'], version: 9 })
+  log.applyListing({ objects: [object('a', 3), object('b', 5)], version: 6 })
+  log.applyChanges({ objects: [object('c', 8)], removed: ['a'], version: 9 })
   expect(log.since(6)).toEqual({ objects: [object('c', 8)], removed: ['a'], version: 9 })
   expect(log.since(9)).toEqual({ objects: [], removed: [], version: 9 })
   expect(log.since(12)).toEqual({ objects: [], removed: [], version: 12 })
@@ -17,22 +17,22 @@
 test('since returns undefined for a version before the first listing, because earlier removals are not known', () => {
   const log = new ChangeLog()
   expect(log.since(0)).toBeUndefined()
-  log.listed({ objects: [object('a', 3)], version: 6 })
+  log.applyListing({ objects: [object('a', 3)], version: 6 })
   expect(log.since(5)).toBeUndefined()
 })
 
 test('a listing after an outage reports the objects removed in the meantime', () => {
   const log = new ChangeLog()
-  log.listed({ objects: [object('a', 1), object('b', 2)], version: 2 })
-  log.listed({ objects: [object('b', 2)], version: 7 })
+  log.applyListing({ objects: [object('a', 1), object('b', 2)], version: 2 })
+  log.applyListing({ objects: [object('b', 2)], version: 7 })
   expect(log.since(2)).toEqual({ objects: [], removed: ['a'], version: 7 })
 })
 
 test('since returns undefined for a version before an evicted removal', () => {
   const log = new ChangeLog({ maxRemovedKeys: 1 })
-  log.listed({ objects: [object('a', 1), object('b', 2)], version: 2 })
-  log.changed({ objects: [], removed: ['a'], version: 3 })
-  log.changed({ objects: [], removed: ['b'], version: 4 })
+  log.applyListing({ objects: [object('a', 1), object('b', 2)], version: 2 })
+  log.applyChanges({ objects: [], removed: ['a'], version: 3 })
+  log.applyChanges({ objects: [], removed: ['b'], version: 4 })
   expect(log.since(2)).toBeUndefined()
   expect(log.since(3)).toEqual({ objects: [], removed: ['b'], version: 4 })
 })
@@ -61,7 +61,7 @@
   fc.assert(fc.property(fc.array(step, { maxLength: 40 }), fc.array(turn, { maxLength: 40 }), (steps, turns) => {
     const relays = [new ChangeLog({ maxRemovedKeys: 2 }), new ChangeLog({ maxRemovedKeys: 2 })]
     const relayVersions = [0, 0]
-    for (const relay of relays) relay.listed({ objects: [], version: 0 })
+    for (const relay of relays) relay.applyListing({ objects: [], version: 0 })
     const copy = new Map<string, number>()
     let at = 0
     const applyToCopy = ({ objects, removed, version }: Changes) => {
@@ -73,8 +73,8 @@
       const now = Math.floor(steps.length * (i + 1) / turns.length)
       const which = source % 2
       const upTo = Math.max(relayVersions[which]!, now - lag)
-      if (lists) relays[which]!.listed({ objects: [...stateAt(steps, upTo)].map(([key, version]) => object(key, version)), version: upTo })
-      else relays[which]!.changed(changesBetween(steps, relayVersions[which]!, upTo))
+      if (lists) relays[which]!.applyListing({ objects: [...stateAt(steps, upTo)].map(([key, version]) => object(key, version)), version: upTo })
+      else relays[which]!.applyChanges(changesBetween(steps, relayVersions[which]!, upTo))
       relayVersions[which] = upTo
       const answer = source === 2 ? changesBetween(steps, at, Math.max(at, now)) : relays[which]!.since(at)
       if (answer) applyToCopy(answer)
--- a/store/store_follower.ts
+++ b/store/store_follower.ts
@@ -9,7 +9,7 @@
   /** Called with the complete copy after each change and each listing. */
   onChange (objects: ReadonlyMap<string, StoredObject>, news: FollowerUpdate): void
   /** Called when the store becomes unreachable and when it answers again. */
-  onReach? (reached: boolean, why: string): void
+  onReachabilityChange? (reached: boolean, why: string): void
   /** Maximum wait of a watch in milliseconds; a function is called before each watch. Default 10,000. */
   waitMs?: number | (() => number)
   /**
@@ -55,17 +55,17 @@
   #failures = 0
   #listedAtMs = -Infinity
   /** Time of the store's last answer, on the monotonic clock. */
-  confirmedAtMs = -Infinity
+  lastAnswerAtMs = -Infinity
 
   constructor (options: StoreFollowerOptions) {
     this.#options = options
   }
 
   /** True once the store has answered for the first time. */
-  get listed (): boolean { return this.confirmedAtMs > -Infinity }
+  get listed (): boolean { return this.lastAnswerAtMs > -Infinity }
 
   /** False from the first failed call until the next answer was applied. */
-  get reached (): boolean { return this.#reachable }
+  get reachable (): boolean { return this.#reachable }
 
   /** Starts following. */
   start (): void {
@@ -132,15 +132,15 @@
   }
 
   #recordSuccess (): void {
-    this.confirmedAtMs = steadyNow()
+    this.lastAnswerAtMs = steadyNow()
     this.#failures = 0
     if (this.#reachable) return
     this.#reachable = true
-    this.#options.onReach?.(true, 'answers again')
+    this.#options.onReachabilityChange?.(true, 'answers again')
   }
 
   async #handleFailure (err: StoreError): Promise<void> {
-    if (this.#reachable) this.#options.onReach?.(false, err.message)
+    if (this.#reachable) this.#options.onReachabilityChange?.(false, err.message)
     this.#reachable = false
     this.#version = undefined
     const maxDelayMs = Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** this.#failures++)
--- a/store/sure_write.ts
+++ b/store/sure_write.ts
@@ -2,7 +2,7 @@
 import { isStoreFailure, StoreError, type ObjectStore, type StoredObject } from './object_store.ts'
 
 /** A value tagged with the id of the write that stored it. */
-export interface Marked<T> { writeId: string, data: T }
+export interface TaggedValue<T> { writeId: string, data: T }
 
 /** Result of a conditional write. */
 export type WriteResult<T> =
@@ -25,8 +25,8 @@
  * another writer's. The write id in the value distinguishes the two.
  * @throws {StoreError} `unsure` if the value cannot be read back either; `not-applied` if the store refused the write.
  */
-export async function writeSurely<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
-  const value = JSON.stringify({ writeId: options.writeId, data: options.data } satisfies Marked<T>)
+export async function writeAndVerify<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
+  const value = JSON.stringify({ writeId: options.writeId, data: options.data } satisfies TaggedValue<T>)
   try {
     const version = options.version === 0 ? await store.create(key, value) : await store.update(key, value, options.version)
     return { applied: true, version }
@@ -40,7 +40,7 @@
 async function readBack<T> (store: ObjectStore, key: string, options: WriteAndVerifyOptions<T>): Promise<WriteResult<T>> {
   const found = await readForVerification(store, key)
   if (!found) return { applied: false, found: undefined, data: undefined }
-  const tagged = JSON.parse(found.value) as Marked<T>
+  const tagged = JSON.parse(found.value) as TaggedValue<T>
   if (tagged.writeId === options.writeId) return { applied: true, version: found.version }
   return { applied: false, found, data: tagged.data }
 }
