--- a/bench/_placing.ts
+++ b/bench/_placing.ts
@@ -14,12 +14,12 @@
 import { BatchEngine, type BatchEngineOptions } from './_batch_engine.ts'
 
 /** Traffic of one work class. */
-export interface PlacedClass {
+export interface SimulatedClass {
   name: string
   perS: number
   urgent: boolean
   /** Mean number of prompt tokens unique to a request; drawn from a log-normal distribution, so some requests have several times as many. */
-  ownTokens: number
+  uniqueTokens: number
   /** Number of prompt tokens shared by all requests about one subject, and the number of subjects. */
   sharedTokens: number
   subjects: number
@@ -35,14 +35,14 @@
   daemons: number
   engines: number
   engine: BatchEngineOptions
-  classes: readonly PlacedClass[]
+  classes: readonly SimulatedClass[]
   spanMs: number
   /** Warm-up period in milliseconds; requests that arrive during it are not counted. */
-  warmMs: number
+  warmupMs: number
 }
 
 /** Request outcomes of one class. */
-export interface PlacedFigures {
+export interface ClassResults {
   asked: number
   inTime: number
   late: number
@@ -51,7 +51,7 @@
   /** Rejected by full engines after the last attempt. */
   rejectedByEngine: number
   /** Shared prompt tokens prefilled on one engine while another engine had them cached. */
-  readAgain: number
+  redundantPrefillTokens: number
   /** Relative errors of the predicted time from placement to first token. */
   predictionErrors: number[]
 }
@@ -65,7 +65,7 @@
 const hash: Hash32 = (text) => h32(text)
 
 /** Simulates callers, daemons and engines, and returns the request outcomes by class name. */
-export function playPlacing (options: PlacementSimulationOptions): Map<string, PlacedFigures> {
+export function simulatePlacement (options: PlacementSimulationOptions): Map<string, ClassResults> {
   const clock = FakeTimers.install({ now: 0, toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'Date', 'performance'] })
   try {
     const play = new PlacementSimulation(options)
@@ -80,7 +80,7 @@
 interface SimulatedDaemon { id: DaemonId, table: EndpointTable, dispatcher: Dispatcher }
 
 class PlacementSimulation {
-  readonly figures: Map<string, PlacedFigures>
+  readonly figures: Map<string, ClassResults>
   readonly #options: PlacementSimulationOptions
   readonly #random: Random
   readonly #engines = new Map<EndpointId, BatchEngine>()
@@ -91,7 +91,7 @@
   constructor (options: PlacementSimulationOptions) {
     this.#options = options
     this.#random = seededRandom(options.seed)
-    this.figures = new Map(options.classes.map(({ name }) => [name, { asked: 0, inTime: 0, late: 0, refusedByDaemon: 0, rejectedByEngine: 0, readAgain: 0, predictionErrors: [] }]))
+    this.figures = new Map(options.classes.map(({ name }) => [name, { asked: 0, inTime: 0, late: 0, refusedByDaemon: 0, rejectedByEngine: 0, redundantPrefillTokens: 0, predictionErrors: [] }]))
     const hosts = Array.from({ length: options.engines }, (_, i) => makeHost(i, options.engine.slots))
     for (const { endpoint } of hosts) this.#engines.set(endpoint.id, new BatchEngine(options.engine))
     this.#daemons = Array.from({ length: options.daemons }, (_, i) => this.#daemon(i, hosts))
@@ -128,25 +128,25 @@
     }, ONE_WAY_DELAY_MS)
   }
 
-  #scheduleArrival (cls: PlacedClass): void {
+  #scheduleArrival (cls: SimulatedClass): void {
     setTimeout(() => {
       this.#handleArrival(cls)
       this.#scheduleArrival(cls)
     }, -Math.log(1 - this.#random()) * 1000 / cls.perS)
   }
 
-  #handleArrival (cls: PlacedClass): void {
-    const counted = steadyNow() >= this.#options.warmMs && steadyNow() < this.#options.spanMs - cls.deadlineMs
+  #handleArrival (cls: SimulatedClass): void {
+    const counted = steadyNow() >= this.#options.warmupMs && steadyNow() < this.#options.spanMs - cls.deadlineMs
     const figures = counted ? this.figures.get(cls.name)! : undefined
     if (figures) figures.asked++
     const daemon = this.#daemons[Math.floor(this.#random() * this.#daemons.length)]!
     this.#place(daemon, { cls, figures, atMs: steadyNow(), demand: this.#demand(cls), attempts: 0, avoid: [] })
   }
 
-  #demand (cls: PlacedClass): Demand {
+  #demand (cls: SimulatedClass): Demand {
     const subject = Math.floor(this.#random() * cls.subjects)
     // Prompt lengths are log-normal with a long tail; dividing by exp(0.5) keeps the mean at uniqueTokens.
-    const own = Math.round(cls.ownTokens * Math.exp(standardNormal(this.#random)) / Math.exp(0.5))
+    const own = Math.round(cls.uniqueTokens * Math.exp(standardNormal(this.#random)) / Math.exp(0.5))
     const parts = [{ key: `${cls.name}/${subject}`, tokens: cls.sharedTokens }, { key: `own/${this.#requests++}`, tokens: own }]
     const tokens = cls.pieces * PIECE_TOKENS
     return { promptTokens: cls.sharedTokens + own, maxTokens: tokens * 3, expectedTokens: tokens, parts }
@@ -201,7 +201,7 @@
     if (!figures) return
     for (const { key, tokens } of demand.parts.slice(0, -1)) {
       const cachedElsewhere = !this.#engines.get(endpoint)!.hasCached(key) && [...this.#engines.values()].some((engine) => engine.hasCached(key))
-      if (cachedElsewhere) figures.readAgain += tokens
+      if (cachedElsewhere) figures.redundantPrefillTokens += tokens
     }
   }
 
@@ -213,7 +213,7 @@
   }
 }
 
-interface SimulatedRequest { cls: PlacedClass, figures: PlacedFigures | undefined, atMs: number, demand: Demand, attempts: number, avoid: readonly EndpointId[] }
+interface SimulatedRequest { cls: SimulatedClass, figures: ClassResults | undefined, atMs: number, demand: Demand, attempts: number, avoid: readonly EndpointId[] }
 
 const PIECE_TOKENS = 9
 const PIECES_SIGMA = 0.4
@@ -224,7 +224,7 @@
   else figures.late++
 }
 
-function workClassOf ({ name, urgent, maxAttempts, firstTokenMs, deadlineMs }: PlacedClass): WorkClass {
+function workClassOf ({ name, urgent, maxAttempts, firstTokenMs, deadlineMs }: SimulatedClass): WorkClass {
   return {
     name: as<ClassName>(name),
     idempotent: maxAttempts > 1,
--- a/bench/_session.ts
+++ b/bench/_session.ts
@@ -5,7 +5,7 @@
 import { Daemon } from '../daemon/daemon.ts'
 import type { LiveAnswer } from '../daemon/request/live_answer.ts'
 import { settingsSchema } from '../daemon/settings.ts'
-import { Ledger, serviceAnswer, StandInCloud, StandInEngine, StandInNetwork, StandInService, StandInStore, wholeAnswer } from '../standins/index.ts'
+import { Ledger, serviceAnswer, StandInCloud, StandInEngine, StandInNetwork, StandInService, StandInStore, fullAnswer } from '../standins/index.ts'
 
 /** Request kinds; each is also the name of a work class. */
 export const KINDS = ['review', 'letter', 'check', 'confirm'] as const
@@ -127,7 +127,7 @@
       links: this.network.join(as(`${domain}-${run}`)),
       engine: (view) => this.cloud.at(view.address) as StandInEngine,
       service: (view) => this.cloud.at(view.address) as StandInService,
-      dial: async (address) => (this.cloud.live().some(({ endpoint }) => endpoint.address === address) ? 'accepted' : 'refused'),
+      dial: async (address) => (this.cloud.runningHosts().some(({ endpoint }) => endpoint.address === address) ? 'accepted' : 'refused'),
       http: false
     }))
   }
@@ -135,7 +135,7 @@
   /** Reclaims hosts with notice, and starts replacements one second later to restore capacity. */
   reclaim (hosts: readonly HostId[], noticeMs: number): void {
     for (const host of hosts) if (!this.leavingSince.has(host)) this.leavingSince.set(host, { atMs: Date.now(), noticed: !this.cloud.faults.silentNotices })
-    const lost = this.cloud.live().filter((host) => hosts.includes(host.hostId))
+    const lost = this.cloud.runningHosts().filter((host) => hosts.includes(host.hostId))
     this.cloud.reclaim(hosts, noticeMs)
     setTimeout(() => lost.forEach((host, i) => { this.startHost(host.endpoint.pool, DOMAINS[i % 3]!) }), 1000)
   }
@@ -197,7 +197,7 @@
     const name = `${caller.kind} ${caller.key}`
     if (caller.outcome === undefined) return [`${name} got no final result`]
     if (caller.outcome === 'answered' && !isCorrectAnswer(caller)) return [`${name} got ${caller.tokens.length} of ${caller.maxTokens} tokens: incomplete or from another request`]
-    const ran = this.ledger.executions(caller.input) > 0
+    const ran = this.ledger.executionCount(caller.input) > 0
     if (reportedNotRun(caller) && ran && !this.#wasResubmitted(caller)) return [`${name} was reported as not-run but ran`]
     return []
   }
@@ -256,7 +256,7 @@
 
 function isCorrectAnswer ({ kind, tokens, input, maxTokens }: Caller): boolean {
   const model = kind === 'review' || kind === 'letter'
-  return tokens.join('') === (model ? wholeAnswer(input, maxTokens).join('') : serviceAnswer(input))
+  return tokens.join('') === (model ? fullAnswer(input, maxTokens).join('') : serviceAnswer(input))
 }
 
 /** Returns the time until the next timer fires, in milliseconds. */
--- a/bench/placing.ts
+++ b/bench/placing.ts
@@ -1,5 +1,5 @@
 /** Fraction of requests served in time under heavy load, by fleet size, when daemons learn of each other's load with a delay. */
-import { playPlacing, type PlacedClass, type PlacedFigures } from './_placing.ts'
+import { simulatePlacement, type SimulatedClass, type ClassResults } from './_placing.ts'
 import { quantile, round, type Bench, type Figures } from './bench.ts'
 
 const FLEETS = [9, 83, 195, 420]
@@ -16,7 +16,7 @@
   about: 'first tokens in time with 9 to 420 daemons and 27 engines, by load',
   run ({ seed, print }) {
     const rows = FLEETS.flatMap((daemons) => LOADS.map((load) => {
-      const results = playPlacing({ seed, daemons, engines: ENGINES, engine: ENGINE, classes: classesOf(load), spanMs: SPAN_MS, warmMs: WARMUP_MS })
+      const results = simulatePlacement({ seed, daemons, engines: ENGINES, engine: ENGINE, classes: classesOf(load), spanMs: SPAN_MS, warmupMs: WARMUP_MS })
       const row = { daemons, load, ...Object.fromEntries([...results].map(([name, figures]) => [name, fractionsOf(figures)])) }
       print(JSON.stringify(row))
       return row
@@ -25,15 +25,15 @@
   }
 }
 
-function classesOf (load: number): PlacedClass[] {
+function classesOf (load: number): SimulatedClass[] {
   return [
-    { name: 'review', perS: 60 * load, urgent: false, ownTokens: 6600, sharedTokens: 5400, subjects: 400, pieces: 42, firstTokenMs: 800, deadlineMs: 12_000, maxAttempts: 2 },
-    { name: 'letter', perS: 361 * load, urgent: true, ownTokens: 1800, sharedTokens: 570, subjects: 3700, pieces: 2.5, firstTokenMs: 500, deadlineMs: 2500, maxAttempts: 1 }
+    { name: 'review', perS: 60 * load, urgent: false, uniqueTokens: 6600, sharedTokens: 5400, subjects: 400, pieces: 42, firstTokenMs: 800, deadlineMs: 12_000, maxAttempts: 2 },
+    { name: 'letter', perS: 361 * load, urgent: true, uniqueTokens: 1800, sharedTokens: 570, subjects: 3700, pieces: 2.5, firstTokenMs: 500, deadlineMs: 2500, maxAttempts: 1 }
   ]
 }
 
 /** Converts counts to fractions of the requests made. */
-function fractionsOf ({ asked, inTime, late, refusedByDaemon: noRoom, rejectedByEngine: turnedAway, readAgain, predictionErrors }: PlacedFigures): Figures {
+function fractionsOf ({ asked, inTime, late, refusedByDaemon: noRoom, rejectedByEngine: turnedAway, redundantPrefillTokens: readAgain, predictionErrors }: ClassResults): Figures {
   const fraction = (count: number) => round(count / Math.max(1, asked), 3)
   const errorQuantile = (q: number) => round(quantile(predictionErrors, q))
   return {
--- a/daemon/api/callers_api_test.ts
+++ b/daemon/api/callers_api_test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { adunniLevy } from '../../demo/deployments.ts'
 import { demoCredential, startPlatform, type Platform } from '../../demo/platform.ts'
-import { serviceAnswer, wholeAnswer } from '../../standins/index.ts'
+import { serviceAnswer, fullAnswer } from '../../standins/index.ts'
 
 let platform: Platform
 
@@ -32,11 +32,11 @@
 
 test('a streamed answer has event ids and an explicit end, and can be resumed from any id at another daemon', async () => {
   const sent = await send('/v1/classes/claim-review/requests', { headers: SSE, body: { input: 'review 1', maxTokens: 30 } })
-  expect(tokensOf(sent.text)).toEqual(wholeAnswer('review 1', 30))
+  expect(tokensOf(sent.text)).toEqual(fullAnswer('review 1', 30))
   expect(sent.text).toMatch(/event: end\ndata: \{"outcome":"answered","tokens":30\}\n\n$/)
   const id = encodeURIComponent(String(sent.headers['request-id']))
   const resumed = await send(`/v1/requests/${id}/answer`, { which: 1, method: 'GET', headers: { ...SSE, 'last-event-id': '12' } })
-  expect(tokensOf(resumed.text)).toEqual(wholeAnswer('review 1', 30).slice(12))
+  expect(tokensOf(resumed.text)).toEqual(fullAnswer('review 1', 30).slice(12))
   const otherAccount = await send(`/v1/requests/${id}/answer`, { which: 1, method: 'GET', account: 'lekki-council' })
   expect(otherAccount.text).not.toContain('"answer"')
 })
@@ -47,7 +47,7 @@
   const again = await letter(1, 'dear household')
   expect(again.json).toMatchObject({ request: first.json.request, answer: first.json.answer })
   expect(await letter(1, 'dear other household')).toMatchObject({ status: 422, json: { outcome: 'not-run' } })
-  expect(platform.ledger.executions('dear household')).toBe(1)
+  expect(platform.ledger.executionCount('dear household')).toBe(1)
   const counts = (await platform.daemons[1]!.metrics.requests.get()).values.map(({ labels, value }) => ({ ...labels, value }))
   expect(counts).toContainEqual({ class: 'letter-draft', outcome: 'repeated', value: 2 })
 })
--- a/daemon/endpoints/lapsed_entries_test.ts
+++ b/daemon/endpoints/lapsed_entries_test.ts
@@ -61,10 +61,10 @@
 
 /** Makes the registry unresponsive, without errors, for longer than entries live. */
 async function runSilentOutage (fixture: RegistryFixture): Promise<void> {
-  fixture.store.fallSilent()
+  fixture.store.stopAnswering()
   await vi.advanceTimersByTimeAsync(6000)
   fixture.expire(ALL)
-  fixture.store.speakAgain()
+  fixture.store.resumeAnswering()
   await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
 }
 
@@ -88,7 +88,7 @@
 test('an endpoint that leaves long after a registry outage gets no new work, even if its departure is the first change since', async () => {
   // Guards against considering the registry unreachable until a watch reports a change, and treating that first change as an expired entry.
   const fixture = await follow()
-  fixture.store.cutWatches()
+  fixture.store.disconnectWatches()
   await vi.advanceTimersByTimeAsync(6000)
   fixture.expire([ALL[4]!])
   await vi.advanceTimersByTimeAsync(PROPAGATION_MS)
@@ -126,7 +126,7 @@
   async run (pauseMs: number, what: Step): Promise<void> {
     await this.advance(pauseMs)
     if (what.type === 'leave') this.#leave(ALL[what.which]!)
-    if (what.type === 'cut') this.fixture.store.cutWatches()
+    if (what.type === 'cut') this.fixture.store.disconnectWatches()
     if (what.type === 'away') await this.#outage(what)
   }
 
@@ -150,12 +150,12 @@
     this.#isDown = true
     const pendingRewrites = this.#rewrites
     this.#rewrites = []
-    if (how === 'silent') this.fixture.store.fallSilent()
+    if (how === 'silent') this.fixture.store.stopAnswering()
     else this.fixture.store.faults.down = true
     await this.advance(forMs)
     this.#expired = forMs >= ENTRY_LIFETIME_MS
     if (this.#expired) this.fixture.expire(ALL)
-    this.fixture.store.speakAgain()
+    this.fixture.store.resumeAnswering()
     this.fixture.store.faults.down = false
     this.#isDown = false
     this.#reachableSinceMs = this.#nowMs
--- a/daemon/request/many_daemons_test.ts
+++ b/daemon/request/many_daemons_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from 'vitest'
-import { playPlacing, type PlacedClass, type PlacedFigures } from '../../bench/_placing.ts'
+import { simulatePlacement, type SimulatedClass, type ClassResults } from '../../bench/_placing.ts'
 
 // Guards against many daemons sending to the same endpoint at once, because the load reports they choose by do not include each other's latest requests.
 
@@ -12,17 +12,17 @@
 /** Multiples of the load that uses two thirds of the engines' capacity. */
 const LOADS = [1.4, 1.5]
 
-function classesOf (times: number): PlacedClass[] {
+function classesOf (times: number): SimulatedClass[] {
   return [
-    { name: 'review', perS: 60 * times, urgent: false, ownTokens: 6600, sharedTokens: 5400, subjects: 400, pieces: 42, firstTokenMs: 800, deadlineMs: 12_000, maxAttempts: 2 },
-    { name: 'letter', perS: 361 * times, urgent: true, ownTokens: 1800, sharedTokens: 570, subjects: 3700, pieces: 2.5, firstTokenMs: 500, deadlineMs: 2500, maxAttempts: 1 }
+    { name: 'review', perS: 60 * times, urgent: false, uniqueTokens: 6600, sharedTokens: 5400, subjects: 400, pieces: 42, firstTokenMs: 800, deadlineMs: 12_000, maxAttempts: 2 },
+    { name: 'letter', perS: 361 * times, urgent: true, uniqueTokens: 1800, sharedTokens: 570, subjects: 3700, pieces: 2.5, firstTokenMs: 500, deadlineMs: 2500, maxAttempts: 1 }
   ]
 }
 
 /** Returns the fraction of each class's requests whose first token came in time, over all seeds. */
 function inTime (fleet: { daemons: number, times: number }): Record<string, number> {
-  const days = SEEDS.map((seed) => playPlacing({ ...fleet, seed, engines: ENGINES, engine: ENGINE, classes: classesOf(fleet.times), spanMs: 20_000, warmMs: 2000 }))
-  const sum = (name: string, of: (figures: PlacedFigures) => number) => days.reduce((total, day) => total + of(day.get(name)!), 0)
+  const days = SEEDS.map((seed) => simulatePlacement({ ...fleet, seed, engines: ENGINES, engine: ENGINE, classes: classesOf(fleet.times), spanMs: 20_000, warmupMs: 2000 }))
+  const sum = (name: string, of: (figures: ClassResults) => number) => days.reduce((total, day) => total + of(day.get(name)!), 0)
   return Object.fromEntries(['review', 'letter'].map((name) => [name, sum(name, (f) => f.inTime) / sum(name, (f) => f.asked)]))
 }
 
--- a/demo/caller.ts
+++ b/demo/caller.ts
@@ -1,7 +1,7 @@
 /** Simulated caller that sends requests, follows and resumes their answers, and checks the results. */
 import { createParser } from 'eventsource-parser'
 import { request } from 'undici'
-import { serviceAnswer, wholeAnswer, type Ledger } from '../standins/index.ts'
+import { serviceAnswer, fullAnswer, type Ledger } from '../standins/index.ts'
 import type { Outcome } from '../core/outcome/index.ts'
 
 /** One request to send. */
@@ -44,13 +44,13 @@
 function recordResult (session: Session, outcome: Outcome | 'lost', ledger: Ledger): CallerResult {
   const { req } = session
   if (outcome === 'lost') ledger.lost()
-  if (outcome === 'not-run') ledger.toldNotRun(req.input)
+  if (outcome === 'not-run') ledger.recordNotRun(req.input)
   if (outcome === 'answered' && !isCorrect(session)) ledger.crossed()
   return { outcome, firstTokenMs: session.firstTokenMs, wholeMs: Date.now() - session.startedAtMs, resumes: session.resumes }
 }
 
 function isCorrect ({ req, tokens }: Session): boolean {
-  const expected = req.stream ? wholeAnswer(req.input, req.maxTokens).join('') : serviceAnswer(req.input)
+  const expected = req.stream ? fullAnswer(req.input, req.maxTokens).join('') : serviceAnswer(req.input)
   return tokens.join('') === expected
 }
 
--- a/standins/_serve.ts
+++ b/standins/_serve.ts
@@ -5,7 +5,7 @@
 import Koa, { type Context } from 'koa'
 
 /** A running HTTP server. */
-export interface Listening { url: string, close (): Promise<void> }
+export interface RunningServer { url: string, close (): Promise<void> }
 
 /** Writes the response when the stand-in behind a route throws. */
 export type OnFailure = (ctx: Context, err: unknown) => void
@@ -26,7 +26,7 @@
 }
 
 /** Starts the application on a port (0 selects a free one). The caller must close the server. */
-export async function serve (app: Koa, port = 0): Promise<Listening> {
+export async function serve (app: Koa, port = 0): Promise<RunningServer> {
   const server: Server = createServer(app.callback())
   await new Promise<void>((resolve) => server.listen(port, '127.0.0.1', resolve))
   const address = server.address() as AddressInfo
--- a/standins/answers.ts
+++ b/standins/answers.ts
@@ -10,7 +10,7 @@
 }
 
 /** Returns all tokens of the answer to a prompt. */
-export function wholeAnswer (prompt: string, tokens: number): string[] {
+export function fullAnswer (prompt: string, tokens: number): string[] {
   return Array.from({ length: tokens }, (_, i) => answerToken(prompt, i))
 }
 
--- a/standins/cloud_api.ts
+++ b/standins/cloud_api.ts
@@ -2,10 +2,10 @@
 import Router from '@koa/router'
 import { CloudError, type Cloud, type HostSpec } from '../endpoints/index.ts'
 import type { HostId } from '../core/ids/index.ts'
-import { createApplication, readJson, serve, type Listening } from './_serve.ts'
+import { createApplication, readJson, serve, type RunningServer } from './_serve.ts'
 
 /** Serves a cloud over the HTTP interface of the platform. */
-export async function serveCloudApi (cloud: Cloud, port = 0): Promise<Listening> {
+export async function serveCloudApi (cloud: Cloud, port = 0): Promise<RunningServer> {
   const router = new Router()
   router.get('/hosts', async (ctx) => { ctx.body = await cloud.hosts() })
   router.get('/offers', async (ctx) => { ctx.body = await cloud.offers() })
--- a/standins/endpoint_api.ts
+++ b/standins/endpoint_api.ts
@@ -4,12 +4,12 @@
 import type { Context } from 'koa'
 import { AttemptError } from '../core/outcome/index.ts'
 import type { EngineOrder, StreamSink, StreamSpec } from '../endpoints/index.ts'
-import { createApplication, readJson, serve, type Listening } from './_serve.ts'
+import { createApplication, readJson, serve, type RunningServer } from './_serve.ts'
 import type { StandInEngine } from './engine.ts'
 import type { StandInService } from './service.ts'
 
 /** Serves one engine over HTTP; streams are sent as server-sent events. */
-export async function serveEngine (engine: StandInEngine): Promise<Listening> {
+export async function serveEngine (engine: StandInEngine): Promise<RunningServer> {
   const router = new Router()
   router.post('/streams', async (ctx) => {
     const spec = await readJson(ctx.req) as StreamSpec
@@ -33,7 +33,7 @@
 }
 
 /** Serves one plain service over HTTP. */
-export async function serveService (service: StandInService): Promise<Listening> {
+export async function serveService (service: StandInService): Promise<RunningServer> {
   const router = new Router()
   router.post('/call', async (ctx) => {
     const { input } = await readJson(ctx.req) as { input: string }
--- a/standins/index.ts
+++ b/standins/index.ts
@@ -1,4 +1,4 @@
-export type { Listening } from './_serve.ts'
+export type { RunningServer as Listening } from './_serve.ts'
 export * from './answers.ts'
 export * from './cloud.ts'
 export * from './cloud_api.ts'
--- a/standins/ledger.ts
+++ b/standins/ledger.ts
@@ -20,11 +20,11 @@
 
   /** Records that an endpoint started the work from the beginning. */
   recordExecution (work: string): void {
-    this.#executions.set(work, this.executions(work) + 1)
+    this.#executions.set(work, this.executionCount(work) + 1)
   }
 
   /** Returns how often the work was started from the beginning. */
-  executions (work: string): number {
+  executionCount (work: string): number {
     return this.#executions.get(work) ?? 0
   }
 
@@ -37,7 +37,7 @@
   }
 
   /** Records that a caller received the outcome `not-run`. */
-  toldNotRun (work: string): void {
+  recordNotRun (work: string): void {
     this.#reportedNotRun.push(work)
   }
 
@@ -49,11 +49,11 @@
 
   /** Work that was reported as `not-run` but did run. */
   get falselyNotRun (): string[] {
-    return this.#reportedNotRun.filter((work) => this.executions(work) > 0)
+    return this.#reportedNotRun.filter((work) => this.executionCount(work) > 0)
   }
 
   totals (): LedgerTotals {
-    const doubled = [...this.#mustRunOnce].filter((work) => this.executions(work) > 1).length
+    const doubled = [...this.#mustRunOnce].filter((work) => this.executionCount(work) > 1).length
     return { lost: this.#lost, doubled, crossed: this.#crossed, recomputedTokens: this.#recomputedTokens }
   }
 }
--- a/standins/network.ts
+++ b/standins/network.ts
@@ -25,7 +25,7 @@
   }
 
   /** Partitions two daemons from each other, or reconnects them. */
-  part (a: DaemonId, b: DaemonId, cut: boolean): void {
+  setPartitioned (a: DaemonId, b: DaemonId, cut: boolean): void {
     const key = pairKey(a, b)
     if (!cut) {
       this.#partitions.delete(key)
@@ -45,7 +45,7 @@
   }
 
   /** Removes all partitions. */
-  heal (): void {
+  healPartitions (): void {
     this.#partitions.clear()
   }
 
--- a/standins/object_api.ts
+++ b/standins/object_api.ts
@@ -1,12 +1,12 @@
 /** HTTP server for the platform's object API. */
 import Router from '@koa/router'
 import { isStoreFailure, type ObjectStore } from '../store/index.ts'
-import { createApplication, readText, serve, type Listening } from './_serve.ts'
+import { createApplication, readText, serve, type RunningServer } from './_serve.ts'
 
 const STATUS = { conflict: 412, 'not-applied': 503, unsure: 500, 'history-gone': 410 } as const
 
 /** Serves a store over the HTTP interface of the platform. */
-export async function serveObjectApi (store: ObjectStore, port = 0): Promise<Listening> {
+export async function serveObjectApi (store: ObjectStore, port = 0): Promise<RunningServer> {
   const router = new Router()
   router.get('/objects', async (ctx) => {
     const { prefix, after, limit } = ctx.query as Record<string, string>
--- a/standins/object_store.ts
+++ b/standins/object_store.ts
@@ -71,19 +71,19 @@
   }
 
   /** Stops answering: calls and watches hang until {@linkcode StandInStore.resumeAnswering} is called. */
-  fallSilent (): void {
+  stopAnswering (): void {
     this.#heldCalls ??= []
   }
 
   /** Resumes answering, starting with the calls that were held back. */
-  speakAgain (): void {
+  resumeAnswering (): void {
     const unanswered = this.#heldCalls ?? []
     this.#heldCalls = undefined
     for (const answer of unanswered) answer()
   }
 
   /** Closes the connections of all pending watches. */
-  cutWatches (): void {
+  disconnectWatches (): void {
     this.#disconnects++
     for (const wake of [...this.#waiting]) wake()
   }
