--- a/cli/operator_actions.ts
+++ b/cli/operator_actions.ts
@@ -1,6 +1,6 @@
 /** Implementation of the operators' commands; loaded only when one of them runs. */
 import { configSchema, InvalidError, parseJsonc, type FieldChange } from '../core/config/index.ts'
-import { readTextFile } from '../daemon/read_text.ts'
+import { readTextFile } from '../daemon/read_text_file.ts'
 import { settingsSchema } from '../daemon/settings.ts'
 import type { AuditRecord } from '../daemon/config/audit.ts'
 import type { RevisionReach } from '../daemon/config/config_task.ts'
--- a/cli/settings_kind.ts
+++ b/cli/settings_kind.ts
@@ -1,6 +1,6 @@
 /** Distinguishes the two kinds of settings files. */
 import { parse } from 'jsonc-parser'
-import { readTextFile } from '../daemon/read_text.ts'
+import { readTextFile } from '../daemon/read_text_file.ts'
 
 /**
  * Returns true for the settings of a platform daemon.
--- a/core/membership/index.ts
+++ b/core/membership/index.ts
@@ -1,4 +1,4 @@
-export * from './derived.ts'
+export * from './versioned_cache.ts'
 export * from './detector.ts'
 export * from './member.ts'
 export * from './membership.ts'
--- a/core/quarantine/blame_test.ts
+++ b/core/quarantine/crash_attribution_test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check'
 import { expect, test } from 'vitest'
 import { as, type EndpointId, type Fingerprint } from '../ids/index.ts'
-import { attributeCrashes } from './blame.ts'
+import { attributeCrashes } from './crash_attribution.ts'
 
 /** Builds crashes from the names of the requests that were running, one letter each. */
 const crashes = (...aboard: string[]) => new Map(aboard.map((names, i) => [as<EndpointId>(`e${i}`), new Set([...names].map((name) => as<Fingerprint>(name)))]))
--- a/core/quarantine/index.ts
+++ b/core/quarantine/index.ts
@@ -1,4 +1,4 @@
-export * from './blame.ts'
+export * from './crash_attribution.ts'
 export * from './crash_records.ts'
 export * from './crash_report.ts'
 export * from './fingerprint.ts'
--- a/core/quarantine/quarantine.ts
+++ b/core/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /** Decides which requests are quarantined because they crash the endpoints that run them. */
 import type { EndpointId, Fingerprint } from '../ids/index.ts'
-import { attributeCrashes, MIN_CRASHES } from './blame.ts'
+import { attributeCrashes, MIN_CRASHES } from './crash_attribution.ts'
 import { CrashRecords } from './crash_records.ts'
 import type { CrashReport } from './crash_report.ts'
 
--- a/core/quota/keeper_choice_test.ts
+++ b/core/quota/keeper_selector_test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from 'vitest'
 import { as, type DaemonId } from '../ids/index.ts'
-import { KeeperSelector } from './keeper_choice.ts'
+import { KeeperSelector } from './keeper_selector.ts'
 
 const [A, B, C, SELF] = ['a', 'b', 'c', 'self'].map((id) => as<DaemonId>(id)) as [DaemonId, DaemonId, DaemonId, DaemonId]
 const RANKED = [A, B, C, SELF]
--- a/core/reclaim/_improve.ts
+++ b/core/reclaim/_local_search.ts
@@ -1,7 +1,7 @@
 /** Local search that lowers the price of a plan by reassigning one stream, or by displacing another stream to make room for it. */
 import type { EndpointId } from '../ids/index.ts'
 import { directivePrice, exportBudgetMs, type Directive, type ReclaimProblem, type Source, type AffectedStream } from './problem.ts'
-import type { CapacityTracker } from './_rooms.ts'
+import type { CapacityTracker } from './_capacity_tracker.ts'
 
 /** A stream, the directive planned for it and the price of that directive. */
 export interface Placement { stream: AffectedStream, directive: Directive, price: number }
--- a/core/reclaim/joint_planner.ts
+++ b/core/reclaim/joint_planner.ts
@@ -1,8 +1,8 @@
 /** The default planner: decides for all streams on reclaimed endpoints together. */
 import type { EndpointId } from '../ids/index.ts'
-import { improvePlan, type Placement } from './_improve.ts'
+import { improvePlan, type Placement } from './_local_search.ts'
 import { knapsack } from './_knapsack.ts'
-import { CapacityTracker } from './_rooms.ts'
+import { CapacityTracker } from './_capacity_tracker.ts'
 import {
   canFinish, directivePrice, exportBudgetMs, exportMs, usableNoticeMs,
   type Directive, type ReclaimPlanner, type ReclaimProblem, type Source, type Target, type AffectedStream
--- a/core/relay/news_sources_test.ts
+++ b/core/relay/change_sources_test.ts
@@ -2,7 +2,7 @@
 import xxhash from 'xxhash-wasm'
 import { as, type DaemonId, type FailureDomain } from '../ids/index.ts'
 import type { Member } from '../membership/index.ts'
-import { changeSources } from './news_sources.ts'
+import { changeSources } from './change_sources.ts'
 
 const { h32: hash } = await xxhash()
 
--- a/core/relay/index.ts
+++ b/core/relay/index.ts
@@ -1,1 +1,1 @@
-export * from './news_sources.ts'
+export * from './change_sources.ts'
--- a/core/routing/endpoint_view.ts
+++ b/core/routing/endpoint_view.ts
@@ -1,7 +1,7 @@
 /** A daemon's view of an endpoint, built from the host list, its own requests in flight and the load reported by other daemons. */
 import type { EndpointId, EndpointVersion, FailureDomain, HostId, PoolName } from '../ids/index.ts'
-import type { FirstTokenModel } from './reading_pace.ts'
-import { slowdownFactor, type ChunkIntervalEstimator } from './stream_rhythm.ts'
+import type { FirstTokenModel } from './first_token_estimator.ts'
+import { slowdownFactor, type ChunkIntervalEstimator } from './chunk_interval_estimator.ts'
 import { unreadBefore, type Lane, type WorkLoad } from './work_load.ts'
 
 /** Speed and capacity of an endpoint, as published by its engine or as learned. */
--- a/daemon/endpoints/leaving_news_test.ts
+++ b/daemon/endpoints/departure_sharing_test.ts
@@ -7,7 +7,7 @@
 import type { FactListener, MembershipTask } from '../peers/membership_task.ts'
 import { EndpointFollower } from './endpoint_follower.ts'
 import { EndpointTable } from './endpoint_table.ts'
-import { shareDepartures } from './leaving_news.ts'
+import { shareDepartures } from './departure_sharing.ts'
 
 const POOL = as<PoolName>('llm')
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f']
--- a/daemon/endpoints/host_watch.ts
+++ b/daemon/endpoints/host_watch.ts
@@ -1,7 +1,7 @@
 /** Follows the platform's host list and reclaim notices. */
 import { CloudError, type Cloud, type ListedHost } from '../../endpoints/index.ts'
 import type { EndpointTable } from './endpoint_table.ts'
-import { shareDepartures } from './leaving_news.ts'
+import { shareDepartures } from './departure_sharing.ts'
 import type { MembershipTask } from '../peers/membership_task.ts'
 import { delay, steadyNow } from '../../core/time/index.ts'
 
--- a/daemon/fleet/lease_task_test.ts
+++ b/daemon/fleet/lease_task_test.ts
@@ -2,7 +2,7 @@
 import { as, type DaemonId, type EndpointId } from '../../core/ids/index.ts'
 import { Ledger, StandInEngine, StandInStore } from '../../standins/index.ts'
 import { LeaseTask, type LeasePeers, type LeaseAnnouncement } from './lease_task.ts'
-import { EngineReconciler, type DesiredState } from './order_keeper.ts'
+import { EngineReconciler, type DesiredState } from './engine_reconciler.ts'
 
 const TTL_MS = 10_000
 const tasks: LeaseTask[] = []
--- a/daemon/log/index.ts
+++ b/daemon/log/index.ts
@@ -1,5 +1,5 @@
 export * from './events.ts'
-export * from './line_budget.ts'
+export * from './log_rate_limiter.ts'
 export * from './log.ts'
 export * from './cpu_time_log.ts'
 export * from './describe.ts'
--- a/daemon/log/log.ts
+++ b/daemon/log/log.ts
@@ -3,7 +3,7 @@
 import type { Logger } from 'pino'
 import { delay, steadyNow } from '../../core/time/index.ts'
 import { WARNING_EVENTS, type DaemonEvents, type LogEvent, type RequestEvents } from './events.ts'
-import { LogRateLimiter } from './line_budget.ts'
+import { LogRateLimiter } from './log_rate_limiter.ts'
 
 /** Options of {@linkcode startLog}. */
 export interface StartLogOptions {
--- a/daemon/request/dispatcher_test.ts
+++ b/daemon/request/dispatcher_test.ts
@@ -8,7 +8,7 @@
 import { EndpointTable } from '../endpoints/endpoint_table.ts'
 import { seededRandom } from '../seeded_random.ts'
 import type { Placement } from './dispatcher.ts'
-import { createSharedDispatcher } from './placing_dispatcher.ts'
+import { createSharedDispatcher } from './shared_dispatcher.ts'
 
 const { h32: hash } = await xxhash()
 const POOL = as<PoolName>('desk')
--- a/daemon/request/request_task.ts
+++ b/daemon/request/request_task.ts
@@ -10,7 +10,7 @@
 import type { RequestEvents } from '../log/index.ts'
 import { ClaimError } from '../once/shard_log.ts'
 import type { Placement } from './dispatcher.ts'
-import { AttemptTracker } from './endpoint_charge.ts'
+import { AttemptTracker } from './attempt_tracker.ts'
 import { Listeners, type FinalResult } from './live_answer.ts'
 import { PieceTimes } from './piece_times.ts'
 import { RequestDecisions } from './request_decisions.ts'
--- a/daemon/settings.ts
+++ b/daemon/settings.ts
@@ -1,7 +1,7 @@
 /** Settings of one daemon process, read from a JSON file with comments. */
 import { z } from 'zod'
 import { parseJsonc } from '../core/config/index.ts'
-import { readTextFile } from './read_text.ts'
+import { readTextFile } from './read_text_file.ts'
 
 const PORT = z.number().int().min(0).max(65_535)
 const IP_ADDRESS = z.string().regex(/^(\d{1,3}\.){3}\d{1,3}$/, 'expected an IPv4 address')
--- a/demo/deployments.ts
+++ b/demo/deployments.ts
@@ -1,7 +1,7 @@
 /** Small versions of both deployments: failure domains, host classes, endpoints and the work that arrives. */
 import { fileURLToPath } from 'node:url'
 import { configSchema, parseJsonc, type Config } from '../core/config/index.ts'
-import { readTextFile } from '../daemon/read_text.ts'
+import { readTextFile } from '../daemon/read_text_file.ts'
 import type { HostClass } from '../standins/index.ts'
 
 /** One kind of request that callers send. */
