--- a/bench/_overhead_worker.ts
+++ b/bench/_overhead_worker.ts
@@ -32,7 +32,7 @@
   })
   for (const pool of ['assessments', 'assessments', 'claims-status', 'claims-status']) await cloud.start({ hostClass: 'quad', failureDomain: as('ikeja'), pool: as(pool), reclaimable: false })
   const [objectApi, cloudApi] = [await serveObjectApi(new StandInStore()), await serveCloudApi(cloud)]
-  const address = (pool: string) => cloud.runningHosts().find((host) => host.endpoint.pool === pool)!.endpoint.address
+  const address = (pool: string) => cloud.live().find((host) => host.endpoint.pool === pool)!.endpoint.address
   parentPort!.postMessage({ objectApi: objectApi.url, cloudApi: cloudApi.url, engine: address('assessments'), service: address('claims-status') })
 }
 
--- a/bench/_schedule.ts
+++ b/bench/_schedule.ts
@@ -125,7 +125,7 @@
 
 /** Reclaims hosts unless a reclaim is in progress: with all hosts leaving, no system could keep its guarantees. */
 function reclaimHosts (session: Session, hosts: ReturnType<Session['cloud']['hostsIn']>, noticeMs: number): void {
-  const leaving = session.cloud.runningHosts().filter((host) => host.state === 'leaving').length
+  const leaving = session.cloud.live().filter((host) => host.state === 'leaving').length
   if (leaving === 0) session.reclaim(hosts, noticeMs)
 }
 
@@ -144,7 +144,7 @@
 
 function partitionDaemons (session: Session, { a, b }: { a: number, b: number }): void {
   const ids = [a, b].map((which) => daemonAt(session, which).id) as [DaemonId, DaemonId]
-  if (ids[0] !== ids[1]) session.network.setPartitioned(...ids, true)
+  if (ids[0] !== ids[1]) session.network.part(...ids, true)
 }
 
 function daemonAt (session: Session, which: number) {
@@ -152,7 +152,7 @@
 }
 
 function hostAt (session: Session, which: number) {
-  const live = session.cloud.runningHosts()
+  const live = session.cloud.live()
   return live[which % live.length]!.hostId
 }
 
--- a/bench/_session.ts
+++ b/bench/_session.ts
@@ -127,7 +127,7 @@
       links: this.network.join(as(`${domain}-${run}`)),
       engine: (view) => this.cloud.at(view.address) as StandInEngine,
       service: (view) => this.cloud.at(view.address) as StandInService,
-      dial: async (address) => (this.cloud.runningHosts().some(({ endpoint }) => endpoint.address === address) ? 'accepted' : 'refused'),
+      dial: async (address) => (this.cloud.live().some(({ endpoint }) => endpoint.address === address) ? 'accepted' : 'refused'),
       http: false
     }))
   }
@@ -135,7 +135,7 @@
   /** Reclaims hosts with notice, and starts replacements one second later to restore capacity. */
   reclaim (hosts: readonly HostId[], noticeMs: number): void {
     for (const host of hosts) if (!this.leavingSince.has(host)) this.leavingSince.set(host, { atMs: Date.now(), noticed: !this.cloud.faults.silentNotices })
-    const lost = this.cloud.runningHosts().filter((host) => hosts.includes(host.hostId))
+    const lost = this.cloud.live().filter((host) => hosts.includes(host.hostId))
     this.cloud.reclaim(hosts, noticeMs)
     setTimeout(() => lost.forEach((host, i) => { this.startHost(host.endpoint.pool, DOMAINS[i % 3]!) }), 1000)
   }
--- a/bench/wave.ts
+++ b/bench/wave.ts
@@ -34,7 +34,7 @@
       const maxTokens = model ? 20 + Math.floor(random() * 100) : 1
       session.submit(session.daemons[i % 3]!, { kind, key: `k${i}`, input: `${kind} ${i} `.padEnd(model ? 1200 : 20, 'x'), maxTokens })
       if (faults) await injectFaults(session, i)
-      for (const host of session.cloud.runningHosts()) hosts.add(host.hostId)
+      for (const host of session.cloud.live()) hosts.add(host.hostId)
       await session.advance(SPAN_MS / REQUESTS)
     }
     await session.advance(SETTLE_MS)
@@ -48,7 +48,7 @@
 async function injectFaults (session: Session, i: number): Promise<void> {
   if (i === REQUESTS * RECLAIM_AT) session.reclaim(session.cloud.hostsIn('a'), 2000)
   if (i === REQUESTS * LOSS_AT) {
-    for (const host of session.cloud.runningHosts().filter((each) => each.failureDomain === 'b')) {
+    for (const host of session.cloud.live().filter((each) => each.failureDomain === 'b')) {
       await session.cloud.stop(host.hostId)
       await session.startHost(host.endpoint.pool, 'c')
     }
--- a/cli/main.ts
+++ b/cli/main.ts
@@ -69,7 +69,7 @@
     const { adunniLevy, kingstonParish } = await import('../demo/deployments.ts')
     const { serveStandIns } = await import('../demo/platform.ts')
     const served = await serveStandIns(options.deployment === 'kingston-parish' ? kingstonParish() : adunniLevy(), { objectApi: 7000, cloudApi: 7001 })
-    print(JSON.stringify({ objectApi: served.objectApi.url, cloudApi: served.cloudApi.url, hosts: served.cloud.runningHosts().length }))
+    print(JSON.stringify({ objectApi: served.objectApi.url, cloudApi: served.cloudApi.url, hosts: served.cloud.live().length }))
   })
 
 cli.command('bench [name]', 'Run one benchmark; the last line of output is JSON')
--- a/daemon/config/config_task_test.ts
+++ b/daemon/config/config_task_test.ts
@@ -69,8 +69,8 @@
 
 test('a partitioned daemon gets the change once the network heals, and never reverts it', async () => {
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
-  session.network.setPartitioned(a, c, true)
-  session.network.setPartitioned(b, c, true)
+  session.network.part(a, c, true)
+  session.network.part(b, c, true)
   session.store.faults.loseWatches = 5
   await apply(0, changed())
   session.network.healPartitions()
--- a/daemon/fleet/fleet_task_test.ts
+++ b/daemon/fleet/fleet_task_test.ts
@@ -32,7 +32,7 @@
 
 /** Starts streams, spread evenly over the hosts; each host runs 8 at a time. */
 function startStreams (cloud: StandInCloud, streams: number): void {
-  const engines = cloud.runningHosts().map((host) => cloud.endpoint(host.hostId) as StandInEngine)
+  const engines = cloud.live().map((host) => cloud.endpoint(host.hostId) as StandInEngine)
   for (let i = 0; i < streams; i++) {
     engines[i % engines.length]!.start({ streamId: `s${i}`, prompt: 'x', done: [], maxTokens: 100_000, priority: 1, keepMs: 0 }, { onChunk () {}, onEnd () {}, onError () {}, onLoad () {} })
   }
@@ -45,8 +45,8 @@
   expect(round.needed).toBeCloseTo(40 * 1.25 / 8)
   expect(round.started).toBe(4)
   await task.reconcile()
-  expect(cloud.runningHosts().length).toBeGreaterThanOrEqual(7)
-  expect(new Set(cloud.runningHosts().map((host) => host.failureDomain)).size).toBe(3)
+  expect(cloud.live().length).toBeGreaterThanOrEqual(7)
+  expect(new Set(cloud.live().map((host) => host.failureDomain)).size).toBe(3)
 })
 
 test('refused starts move to another failure domain and finally to on-demand hosts', async () => {
@@ -54,7 +54,7 @@
   startStreams(cloud, 40)
   for (const domain of 'abc') cloud.faults.refuseIn.add(as<FailureDomain>(domain))
   for (let i = 0; i < 5; i++) await task.reconcile()
-  expect(cloud.runningHosts().filter((host) => !host.reclaimable).length).toBeGreaterThanOrEqual(4)
+  expect(cloud.live().filter((host) => !host.reclaimable).length).toBeGreaterThanOrEqual(4)
   expect(records.map(({ what }) => (what as { action: string }).action)).toContain('refused')
 })
 
@@ -62,7 +62,7 @@
   const { cloud, task, leaving } = await fleet(9)
   startStreams(cloud, 56)
   expect(await task.reconcile()).toMatchObject({ needed: 8.75, started: 0, draining: 0 })
-  for (const host of cloud.runningHosts()) for (let i = 0; i < 40; i++) await (cloud.endpoint(host.hostId) as StandInEngine).cancel(`s${i}`, 0)
+  for (const host of cloud.live()) for (let i = 0; i < 40; i++) await (cloud.endpoint(host.hostId) as StandInEngine).cancel(`s${i}`, 0)
   expect(await task.reconcile()).toMatchObject({ needed: 8.75, draining: 0 })
   await vi.advanceTimersByTimeAsync(700_000)
   await task.reconcile()
@@ -70,7 +70,7 @@
   await task.reconcile()
   await vi.advanceTimersByTimeAsync(130_000)
   await task.reconcile()
-  expect(cloud.runningHosts()).toHaveLength(3)
+  expect(cloud.live()).toHaveLength(3)
 })
 
 test('booting hosts that are not listed yet are not ordered again', async () => {
@@ -96,7 +96,7 @@
   startStreams(cloud, 40)
   state.holds = false
   await task.reconcile()
-  expect(cloud.runningHosts()).toHaveLength(3)
+  expect(cloud.live()).toHaveLength(3)
   expect(records).toHaveLength(0)
 })
 
@@ -109,7 +109,7 @@
     await session.advance(15_000)
     session.cloud.reclaim(session.cloud.hostsIn('a'), 2000)
     await session.advance(45_000)
-    const models = session.cloud.runningHosts().filter((host) => host.endpoint.pool === 'models')
+    const models = session.cloud.live().filter((host) => host.endpoint.pool === 'models')
     expect(models.length).toBeGreaterThanOrEqual(4)
     expect(models.length).toBeLessThanOrEqual(9)
     expect(session.violations()).toEqual([])
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -135,12 +135,12 @@
   async changes (_prefix: string, { after, waitMs }: { after: number, waitMs: number }): Promise<Changes> {
     const response = await this.#options.fetchChanges(after)
     if (response) {
-      this.#log.applyChanges(response)
+      this.#log.changed(response)
       this.#markFresh(response.ageMs)
       return { ...response, checked: true }
     }
     const changes = await this.#trackFailure(this.#options.store.changes(this.#prefix, { after, waitMs }))
-    this.#log.applyChanges(changes)
+    this.#log.changed(changes)
     this.#markFresh(0)
     return changes
   }
--- a/daemon/peers/store_relay_test.ts
+++ b/daemon/peers/store_relay_test.ts
@@ -156,7 +156,7 @@
   const suspended = relays.filter((_, i) => i % 2 === 0)
   expect(suspended.length).toBeGreaterThan(2)
   for (const { member, access } of suspended) {
-    for (const other of nodes) network.setPartitioned(member.id, other.member.id, true)
+    for (const other of nodes) network.part(member.id, other.member.id, true)
     access.isUnanswered = true
   }
   store.expire([`${PREFIX}a`])
@@ -166,7 +166,7 @@
 test('a daemon that reaches no other follows the store itself and returns to asking relays afterwards', async () => {
   const { store, network, nodes } = await started(12, 3)
   const [first] = nodes
-  for (const { member } of nodes.slice(1)) network.setPartitioned(first!.member.id, member.id, true)
+  for (const { member } of nodes.slice(1)) network.part(first!.member.id, member.id, true)
   store.expire([`${PREFIX}a`])
   expect(await fleet.timeUntilKnown([], [first!])).toBeLessThanOrEqual(PROPAGATION_MS)
   network.healPartitions()
@@ -197,7 +197,7 @@
 function setFault (fleet: Fleet, node: Node, kind: Fault): void {
   node.access.isCutOff = kind === 'cut-off'
   node.access.isUnanswered = kind === 'unanswered'
-  for (const other of fleet.nodes) if (other !== node) fleet.network.setPartitioned(node.member.id, other.member.id, kind === 'alone')
+  for (const other of fleet.nodes) if (other !== node) fleet.network.part(node.member.id, other.member.id, kind === 'alone')
 }
 
 test('random schedules: a daemon that reaches the store learns of each departure in time, whatever happens to the others', async () => {
--- a/daemon/sessions/crashing_request_test.ts
+++ b/daemon/sessions/crashing_request_test.ts
@@ -15,7 +15,7 @@
 
 /** Stops the engine that runs the only request and starts a new one; returns false if no engine runs it. */
 async function crashRunningEngine (): Promise<boolean> {
-  const host = session.cloud.runningHosts().find(({ hostId }) => {
+  const host = session.cloud.live().find(({ hostId }) => {
     const endpoint = session.cloud.endpoint(hostId)
     return endpoint instanceof StandInEngine && endpoint.running > 0
   })
--- a/daemon/sessions/drain_test.ts
+++ b/daemon/sessions/drain_test.ts
@@ -15,7 +15,7 @@
   // had. Only streams running at an endpoint were handed over, because a queued one has no endpoint to read it from.
   for (let i = 0; i < 9; i++) session.submit(session.daemons[i % 3]!, { kind: 'review', key: `r${i}`, input: `r${i} `.padEnd(400, 'x'), maxTokens: 250 })
   await session.advance(1500)
-  session.cloud.reclaim(session.cloud.runningHosts().filter((host) => host.endpoint.pool === 'models').map((host) => host.hostId), 2000)
+  session.cloud.reclaim(session.cloud.live().filter((host) => host.endpoint.pool === 'models').map((host) => host.hostId), 2000)
   await session.advance(2500)
   const waiting = [...session.daemons[0]!.broker.open].filter((task) => task.state.phase === 'placing' && task.state.mayHaveRun)
   expect(waiting.length).toBeGreaterThan(0)
--- a/daemon/sessions/parted_test.ts
+++ b/daemon/sessions/parted_test.ts
@@ -21,8 +21,8 @@
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
   submit(0, 'letter', 'shared')
   await session.advance(500)
-  session.network.setPartitioned(a, b, true)
-  session.network.setPartitioned(a, c, true)
+  session.network.part(a, b, true)
+  session.network.part(a, c, true)
   const applying = session.daemons[1]!.config.apply({ ...sessionConfig(), wantsLeast: 'cost' }, { operator: 'op' })
   for (let minute = 0; minute < 3; minute++) {
     for (const kind of ['review', 'letter', 'check', 'confirm'] as const) for (const which of [0, 1, 2]) submit(which, kind)
@@ -43,8 +43,8 @@
   // A caller times out at one region and resends its request to the other, which cannot reach the first. This works because claims on keys
   // are kept in the store.
   const [a, b, c] = session.daemons.map((daemon) => daemon.id) as [never, never, never]
-  session.network.setPartitioned(a, b, true)
-  session.network.setPartitioned(a, c, true)
+  session.network.part(a, b, true)
+  session.network.part(a, c, true)
   await session.advance(20_000)
   submit(0, 'letter', 'same')
   submit(1, 'letter', 'same')
--- a/demo/platform.ts
+++ b/demo/platform.ts
@@ -48,7 +48,7 @@
   const objectApi = await serveObjectApi(store, ports.objectApi)
   const cloudApi = await serveCloudApi(cloud, ports.cloudApi)
   const stop = async () => {
-    await Promise.all(cloud.runningHosts().map((host) => cloud.stop(host.hostId)))
+    await Promise.all(cloud.live().map((host) => cloud.stop(host.hostId)))
     await Promise.all([objectApi.close(), cloudApi.close()])
   }
   return { ledger, store, cloud, objectApi, cloudApi, stop }
--- a/standins/cloud.ts
+++ b/standins/cloud.ts
@@ -101,11 +101,11 @@
 
   /** Returns the running hosts of a failure domain. */
   hostsIn (domain: string): HostId[] {
-    return this.runningHosts().filter((host) => host.failureDomain === domain).map((host) => host.hostId)
+    return this.live().filter((host) => host.failureDomain === domain).map((host) => host.hostId)
   }
 
   /** Returns the running hosts in their current state, without the delay of the host list. */
-  runningHosts (): ListedHost[] {
+  live (): ListedHost[] {
     return [...this.#hosts.values()].filter((host) => host.stoppedAtMs === undefined).map((host) => host.listed)
   }
 
@@ -156,7 +156,7 @@
   }
 
   #recordHostList (): void {
-    this.#hostListHistory.push({ atMs: Date.now(), hosts: this.runningHosts() })
+    this.#hostListHistory.push({ atMs: Date.now(), hosts: this.live() })
     this.#hostListHistory = this.#hostListHistory.slice(-50)
   }
 
--- a/standins/network.ts
+++ b/standins/network.ts
@@ -25,7 +25,7 @@
   }
 
   /** Partitions two daemons from each other, or reconnects them. */
-  setPartitioned (a: DaemonId, b: DaemonId, cut: boolean): void {
+  part (a: DaemonId, b: DaemonId, cut: boolean): void {
     const key = pairKey(a, b)
     if (!cut) {
       this.#partitions.delete(key)
--- a/store/change_log.ts
+++ b/store/change_log.ts
@@ -53,7 +53,7 @@
   }
 
   /** Applies changes that directly follow the version of the copy. */
-  applyChanges ({ objects, removed, version }: Changes): void {
+  changed ({ objects, removed, version }: Changes): void {
     this.#version = Math.max(this.#version ?? 0, version)
     for (const object of objects) this.#put(object)
     for (const key of removed) this.#remove(key, version)
--- a/store/change_log_test.ts
+++ b/store/change_log_test.ts
@@ -8,7 +8,7 @@
 test('since returns only the changes after the given version', () => {
   const log = new ChangeLog()
   log.applyListing({ objects: [object('a', 3), object('b', 5)], version: 6 })
-  log.applyChanges({ objects: [object('c', 8)], removed: ['a'], version: 9 })
+  log.changed({ objects: [object('c', 8)], removed: ['a'], version: 9 })
   expect(log.since(6)).toEqual({ objects: [object('c', 8)], removed: ['a'], version: 9 })
   expect(log.since(9)).toEqual({ objects: [], removed: [], version: 9 })
   expect(log.since(12)).toEqual({ objects: [], removed: [], version: 12 })
@@ -31,8 +31,8 @@
 test('since returns undefined for a version before an evicted removal', () => {
   const log = new ChangeLog({ maxRemovedKeys: 1 })
   log.applyListing({ objects: [object('a', 1), object('b', 2)], version: 2 })
-  log.applyChanges({ objects: [], removed: ['a'], version: 3 })
-  log.applyChanges({ objects: [], removed: ['b'], version: 4 })
+  log.changed({ objects: [], removed: ['a'], version: 3 })
+  log.changed({ objects: [], removed: ['b'], version: 4 })
   expect(log.since(2)).toBeUndefined()
   expect(log.since(3)).toEqual({ objects: [], removed: ['b'], version: 4 })
 })
@@ -74,7 +74,7 @@
       const which = source % 2
       const upTo = Math.max(relayVersions[which]!, now - lag)
       if (lists) relays[which]!.applyListing({ objects: [...stateAt(steps, upTo)].map(([key, version]) => object(key, version)), version: upTo })
-      else relays[which]!.applyChanges(changesBetween(steps, relayVersions[which]!, upTo))
+      else relays[which]!.changed(changesBetween(steps, relayVersions[which]!, upTo))
       relayVersions[which] = upTo
       const answer = source === 2 ? changesBetween(steps, at, Math.max(at, now)) : relays[which]!.since(at)
       if (answer) applyToCopy(answer)
