--- a/bench/placing.ts
+++ b/bench/placing.ts
@@ -33,7 +33,7 @@
 }
 
 /** Converts counts to fractions of the requests made. */
-function fractionsOf ({ asked, inTime, late, refusedByDaemon: noRoom, rejectedByEngine: turnedAway, redundantPrefillTokens: readAgain, predictionErrors }: ClassResults): Figures {
+function fractionsOf ({ asked, inTime, late, refusedByDaemon: noRoom, rejectedByEngine: turnedAway, redundantPrefillTokens, predictionErrors }: ClassResults): Figures {
   const fraction = (count: number) => round(count / Math.max(1, asked), 3)
   const errorQuantile = (q: number) => round(quantile(predictionErrors, q))
   return {
@@ -42,7 +42,7 @@
     late: fraction(late),
     refused: fraction(noRoom),
     turnedAway: fraction(turnedAway),
-    tokensReadAgain: Math.round(readAgain / Math.max(1, asked)),
+    tokensReadAgain: Math.round(redundantPrefillTokens / Math.max(1, asked)),
     predictionError: { median: errorQuantile(0.5), p95: errorQuantile(0.95) }
   }
 }
--- a/cli/main.ts
+++ b/cli/main.ts
@@ -24,13 +24,13 @@
   })
 
 async function servePlatformDaemon (path: string): Promise<void> {
-  const { loadPlatformSettings, toProxySettings: proxySettings, servePlatform } = await import('../platform/index.ts')
+  const { loadPlatformSettings, toProxySettings, servePlatform } = await import('../platform/index.ts')
   const { watchSettings } = await import('./settings_watch.ts')
   const settings = loadPlatformSettings(path)
   const serving = servePlatform(settings)
   startLog({ daemon: settings.name, after: serving })
   const daemon = await serving
-  watchSettings(path, { reload: () => daemon.reconfigure(proxySettings(loadPlatformSettings(path))), reloadOnStart: hangupReceived() })
+  watchSettings(path, { reload: () => daemon.reconfigure(toProxySettings(loadPlatformSettings(path))), reloadOnStart: hangupReceived() })
   await drainOnSignal(daemon)
 }
 
--- a/core/retry/window_budget.ts
+++ b/core/retry/window_budget.ts
@@ -48,8 +48,8 @@
   }
 
   #extraRetries (): number {
-    const { windowMs, extraRetries: beside, initialExtraFraction: besideAtStart = 1 } = this.#options
-    return beside() * (steadyNow() - this.#startedAtMs < windowMs ? besideAtStart : 1)
+    const { windowMs, extraRetries, initialExtraFraction = 1 } = this.#options
+    return extraRetries() * (steadyNow() - this.#startedAtMs < windowMs ? initialExtraFraction : 1)
   }
 
   /** Returns the current slot, after removing the slots that have left the window. */
--- a/core/rollout/rollout_machine.ts
+++ b/core/rollout/rollout_machine.ts
@@ -74,19 +74,19 @@
 interface SwitchWindow { from: number, latest: number }
 
 /** Places the switch late, but early enough for it to reach every daemon before the deadline. */
-function switchWindowOf ({ order: { durationMs } }: RolloutProgress, { propagationMs: newsMs }: RolloutObservation): SwitchWindow {
-  const fractionBefore = (ms: number) => Math.max(0, durationMs - newsMs - ms) / durationMs
+function switchWindowOf ({ order: { durationMs } }: RolloutProgress, { propagationMs }: RolloutObservation): SwitchWindow {
+  const fractionBefore = (ms: number) => Math.max(0, durationMs - propagationMs - ms) / durationMs
   const latest = fractionBefore(DEADLINE_RESERVE_MS)
   return { from: Math.min(latest, Math.max(MIN_SWITCH_FRACTION, fractionBefore(2 * DEADLINE_RESERVE_MS))), latest }
 }
 
-function emptyingFrom ({ order: { durationMs } }: RolloutProgress, { propagationMs: newsMs }: RolloutObservation): number {
-  return Math.max(0, durationMs - newsMs) / durationMs
+function emptyingFrom ({ order: { durationMs } }: RolloutProgress, { propagationMs }: RolloutObservation): number {
+  return Math.max(0, durationMs - propagationMs) / durationMs
 }
 
 /** On `completed` the old endpoints are stopped without draining, so they must be idle and every daemon must know of the switch. */
-function canComplete ({ switchedAtMs = Infinity }: RolloutProgress, { nowMs, propagationMs: newsMs, runningAtOld }: RolloutObservation, elapsed: number): boolean {
-  return elapsed >= MIN_COMPLETION_FRACTION && nowMs - switchedAtMs >= Math.max(newsMs, MIN_FULL_LOAD_MS) && runningAtOld === 0
+function canComplete ({ switchedAtMs = Infinity }: RolloutProgress, { nowMs, propagationMs, runningAtOld }: RolloutObservation, elapsed: number): boolean {
+  return elapsed >= MIN_COMPLETION_FRACTION && nowMs - switchedAtMs >= Math.max(propagationMs, MIN_FULL_LOAD_MS) && runningAtOld === 0
 }
 
 function describeWorse ({ strongest }: Comparison): string {
--- a/core/routing/first_token_estimator.ts
+++ b/core/routing/first_token_estimator.ts
@@ -57,11 +57,11 @@
   firstMs: number
   msPerToken: number
 
-  constructor ({ prior: first }: FirstTokenEstimatorOptions) {
-    this.firstMs = first.firstMs
-    this.msPerToken = first.msPerToken
+  constructor ({ prior }: FirstTokenEstimatorOptions) {
+    this.firstMs = prior.firstMs
+    this.msPerToken = prior.msPerToken
     for (const tokens of [0, PRIOR_PROMPT_TOKENS]) {
-      const firstMs = first.firstMs + tokens * first.msPerToken
+      const firstMs = prior.firstMs + tokens * prior.msPerToken
       this.#add({ unreadTokens: tokens, firstMs }, PRIOR_WEIGHT / 2)
     }
   }
--- a/daemon/endpoints/endpoint_follower.ts
+++ b/daemon/endpoints/endpoint_follower.ts
@@ -109,10 +109,10 @@
   }
 
   /** Logs which endpoints are held. Without these lines, an attempt at an endpoint without an entry could not be explained. */
-  #logHeld ({ held, why, restored: back }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
+  #logHeld ({ held, why, restored }: VanishedEntries, listed: ReadonlyMap<string, KnownEndpoint>): void {
     const untilMs = this.#lapsedEntries.untilMs ?? steadyNow()
     if (held.length > 0) log('endpoints-held', { endpoints: this.#appliedNamed(held).map(({ id }) => id), why, forMs: Math.round(untilMs - steadyNow()) })
-    if (back.length > 0) log('endpoints-back', { endpoints: back.flatMap((name) => listed.get(name)?.id ?? []) })
+    if (restored.length > 0) log('endpoints-back', { endpoints: restored.flatMap((name) => listed.get(name)?.id ?? []) })
   }
 
   /** Applies endpoints to the table. Departures come first: an unlisted endpoint without work here is removed, and its departure would not reach the other daemons. */
--- a/daemon/peers/store_relay.ts
+++ b/daemon/peers/store_relay.ts
@@ -67,8 +67,8 @@
 
   /** Returns a source for the objects of a prefix and starts serving the prefix to other daemons. */
   source (prefix: string): ObjectSource {
-    const { store, propagationMs: newsMs } = this.#options
-    const followed = new FollowedPrefix(prefix, { store, maxAgeMs: newsMs * MAX_AGE_FACTOR, fetchChanges: (after) => this.#fetchChanges(prefix, after) })
+    const { store, propagationMs } = this.#options
+    const followed = new FollowedPrefix(prefix, { store, maxAgeMs: propagationMs * MAX_AGE_FACTOR, fetchChanges: (after) => this.#fetchChanges(prefix, after) })
     this.#followed.set(prefix, followed)
     return followed
   }
@@ -84,13 +84,13 @@
 
   #sources (): Member[] {
     const now = steadyNow()
-    const { self, acceptingWork: working, hash } = this.#options
-    return changeSources(self(), working(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
+    const { self, acceptingWork, hash } = this.#options
+    return changeSources(self(), acceptingWork(), { hash }).filter(({ id }) => now - (this.#failedAtMs.get(id) ?? -Infinity) > FAILED_SOURCE_BACKOFF_MS)
   }
 
   async #fetchChangesFrom (daemon: Member, prefix: string, after: number): Promise<ChangesResponse | undefined> {
-    const { links, propagationMs: newsMs, metrics } = this.#options
-    const waitMs = newsMs * REQUEST_WAIT_FRACTION
+    const { links, propagationMs, metrics } = this.#options
+    const waitMs = propagationMs * REQUEST_WAIT_FRACTION
     try {
       const response = await links.call(daemon, CHANGES_METHOD, { prefix, after, waitMs } satisfies ChangesRequest, { timeoutMs: 2 * waitMs }) as ChangesResponse
       metrics.storeChangeAge.observe({ prefix }, response.ageMs)
--- a/daemon/quarantine/quarantine_archive.ts
+++ b/daemon/quarantine/quarantine_archive.ts
@@ -66,8 +66,8 @@
   }
 
   async #update (): Promise<void> {
-    const { maintainsArchive: keeps, quarantine, store } = this.#options
-    if (!keeps()) {
+    const { maintainsArchive, quarantine, store } = this.#options
+    if (!maintainsArchive()) {
       this.#stored = undefined
       return
     }
--- a/daemon/request/shared_parts_test.ts
+++ b/daemon/request/shared_parts_test.ts
@@ -9,7 +9,7 @@
 const MAX_REPEATED_PREFILL = 0.25
 
 test.each([9, 83, 195])('with more engines than a daemon connects to, %d daemons choose the same one for a shared prefix', (daemons) => {
-  const { asked, inTime, redundantPrefillTokens: readAgain } = simulatePlacement({ seed: 1, daemons, engines: 80, engine: ENGINE, classes: [REVIEW], spanMs: 24_000, warmupMs: 4000 }).get('review')!
-  expect(readAgain / asked).toBeLessThan(REVIEW.sharedTokens * MAX_REPEATED_PREFILL)
+  const { asked, inTime, redundantPrefillTokens } = simulatePlacement({ seed: 1, daemons, engines: 80, engine: ENGINE, classes: [REVIEW], spanMs: 24_000, warmupMs: 4000 }).get('review')!
+  expect(redundantPrefillTokens / asked).toBeLessThan(REVIEW.sharedTokens * MAX_REPEATED_PREFILL)
   expect(inTime / asked).toBeGreaterThan(0.95)
 })
