--- a/core/quota/keeper_selector.ts
+++ b/core/quota/keeper_selector.ts
@@ -9,7 +9,7 @@
 /** Tracks which daemons are eligible. All daemons rank the members identically and therefore select the same keeper. */
 export class KeeperSelector {
   readonly #self: DaemonId
-  readonly #heardAtMs = new Map<DaemonId, number>()
+  readonly #lastHeartbeatMs = new Map<DaemonId, number>()
   readonly #refusedAtMs = new Map<DaemonId, number>()
 
   constructor (self: DaemonId) {
@@ -17,15 +17,15 @@
   }
 
   /** Records a message from a daemon. */
-  heard (id: DaemonId, now: number): void {
-    this.#heardAtMs.set(id, now)
+  recordHeartbeat (id: DaemonId, now: number): void {
+    this.#lastHeartbeatMs.set(id, now)
     this.#refusedAtMs.delete(id)
   }
 
   /** Records that a daemon's address refused a connection, so no process listens there. */
   refused (id: DaemonId, now: number): void {
     this.#refusedAtMs.set(id, now)
-    this.#heardAtMs.delete(id)
+    this.#lastHeartbeatMs.delete(id)
   }
 
   /** Reports whether a daemon's address refused a connection and no message has arrived since. */
@@ -36,12 +36,12 @@
   /** Returns the highest-ranked daemon with a recent message; a daemon without any message yet is tried as well. */
   choose (ranked: readonly DaemonId[], now: number): DaemonId {
     const chosen = ranked.find((id) => id === this.#self || this.#isEligible(id, now)) ?? this.#self
-    if (chosen !== this.#self && !this.#heardAtMs.has(chosen)) this.#heardAtMs.set(chosen, now)
+    if (chosen !== this.#self && !this.#lastHeartbeatMs.has(chosen)) this.#lastHeartbeatMs.set(chosen, now)
     return chosen
   }
 
   #isEligible (id: DaemonId, now: number): boolean {
     if (now - (this.#refusedAtMs.get(id) ?? -Infinity) < REFUSED_BACKOFF_MS) return false
-    return now - (this.#heardAtMs.get(id) ?? now) <= KEEPER_TIMEOUT_MS
+    return now - (this.#lastHeartbeatMs.get(id) ?? now) <= KEEPER_TIMEOUT_MS
   }
 }
--- a/core/quota/keeper_selector_test.ts
+++ b/core/quota/keeper_selector_test.ts
@@ -8,11 +8,11 @@
 test('the highest-ranked daemon is selected while its messages arrive, and the next one once they stop', () => {
   const choice = new KeeperSelector(SELF)
   expect(choice.choose(RANKED, 0)).toBe(A)
-  choice.heard(A, 500)
+  choice.recordHeartbeat(A, 500)
   expect(choice.choose(RANKED, 1200)).toBe(A)
-  choice.heard(B, 1200)
+  choice.recordHeartbeat(B, 1200)
   expect(choice.choose(RANKED, 1300)).toBe(B)
-  choice.heard(A, 1400)
+  choice.recordHeartbeat(A, 1400)
   expect(choice.choose(RANKED, 1400)).toBe(A)
 })
 
@@ -24,7 +24,7 @@
   expect(choice.choose(RANKED, 5)).toBe(B)
   choice.refused(B, 10)
   expect(choice.choose(RANKED, 10)).toBe(C)
-  choice.heard(B, 20)
+  choice.recordHeartbeat(B, 20)
   expect(choice.choose(RANKED, 20)).toBe(B)
 })
 
--- a/core/routing/endpoint_view.ts
+++ b/core/routing/endpoint_view.ts
@@ -59,7 +59,7 @@
   /** When the endpoint was first listed, in milliseconds on the daemon's clock. Default: long ago. */
   listedAtMs?: number
   /** When the endpoint last sent anything, in milliseconds on the daemon's clock. Default: never. */
-  heardAtMs?: number
+  lastActivityAtMs?: number
 }
 
 /** Returns the number of requests known to be running at the endpoint. */
--- a/daemon/endpoints/endpoint_table.ts
+++ b/daemon/endpoints/endpoint_table.ts
@@ -290,12 +290,12 @@
   /** Records that an endpoint sent data of any kind. */
   recordActivity (id: EndpointId): void {
     const view = this.#views.get(id)
-    if (view) view.heardAtMs = steadyNow()
+    if (view) view.lastActivityAtMs = steadyNow()
   }
 
   /** When an endpoint last sent data, in milliseconds on the steady clock; `-Infinity` for an unknown endpoint. */
   lastActivityAtMs (id: EndpointId): number {
-    return this.#views.get(id)?.heardAtMs ?? -Infinity
+    return this.#views.get(id)?.lastActivityAtMs ?? -Infinity
   }
 
   /** Typical gap between stream pieces in an endpoint's pool, in milliseconds; undefined when none came recently. */
@@ -309,7 +309,7 @@
     const now = steadyNow()
     if (!view || view.ejectedUntilMs > now) return
     view.ejectedUntilMs = now + SILENCE_EJECTION_MS
-    log('endpoint-silent', { endpoint: id, wordAgeMs: Math.round(now - (view.heardAtMs ?? now)), forMs: SILENCE_EJECTION_MS })
+    log('endpoint-silent', { endpoint: id, wordAgeMs: Math.round(now - (view.lastActivityAtMs ?? now)), forMs: SILENCE_EJECTION_MS })
   }
 
   /** Counts an attempt that failed because of the endpoint; repeated failures eject it for a while. */
@@ -374,7 +374,7 @@
       own: noWork(),
       leavingAtMs: undefined,
       ejectedUntilMs: 0,
-      heardAtMs: steadyNow(),
+      lastActivityAtMs: steadyNow(),
       listedAtMs: steadyNow()
     })
     this.#byHost.set(host.hostId, endpoint.id)
--- a/daemon/limits/account_limits.ts
+++ b/daemon/limits/account_limits.ts
@@ -48,10 +48,10 @@
 const RANKING_JOB = 'quotas'
 const VOTE = 'quota-vote'
 const PROBE = 'quota-probe'
-const HEARD = 'quota-heard'
-const WITHDRAWN = 'quota-withdrawn'
-const FREED = 'quota-freed'
-const GIVEN_BACK = 'quota-given-back'
+const KEEPER_REPLY = 'quota-heard'
+const WITHDRAWAL = 'quota-withdrawn'
+const WITHDRAWAL_REPLY = 'quota-freed'
+const REFUND = 'quota-given-back'
 const ASK = 'quota-ask'
 const NO_CHARGE: Charge = { giveBack: () => {} }
 
@@ -97,11 +97,11 @@
     this.#choice = new KeeperSelector(options.self)
     const { links } = options.membership
     links.onPost(VOTE, (vote: Vote, from) => this.#onVoted(from, vote))
-    links.onPost(PROBE, (_nothing: null, from) => links.post(from, HEARD, { levels: [] } satisfies KeeperReply))
-    links.onPost(HEARD, ({ levels }: KeeperReply, from) => this.#onHeard(from, levels))
-    links.onPost(WITHDRAWN, (number: number, from) => this.#onWithdrawn(from, number))
-    links.onPost(FREED, (freed: WithdrawalReply) => this.#onFreed(freed))
-    links.onPost(GIVEN_BACK, ([account, cost]: QuotaRequest) => this.#localKeeper.refund(account, cost))
+    links.onPost(PROBE, (_nothing: null, from) => links.post(from, KEEPER_REPLY, { levels: [] } satisfies KeeperReply))
+    links.onPost(KEEPER_REPLY, ({ levels }: KeeperReply, from) => this.#onKeeperReply(from, levels))
+    links.onPost(WITHDRAWAL, (number: number, from) => this.#onWithdrawn(from, number))
+    links.onPost(WITHDRAWAL_REPLY, (freed: WithdrawalReply) => this.#onFreed(freed))
+    links.onPost(REFUND, ([account, cost]: QuotaRequest) => this.#localKeeper.refund(account, cost))
     options.membership.onLink(() => { if (this.#interval) this.#scheduleVote() })
     links.handle(ASK, async (asks: QuotaRequest[], { from }) => {
       this.#localKeeper.renewVote(from, steadyNow())
@@ -151,7 +151,7 @@
     clearInterval(this.#interval)
     clearTimeout(this.#voteTimer)
     this.#interval = undefined
-    if (this.#chosenId !== undefined) this.#options.membership.links.post(this.#chosenId, WITHDRAWN, ++this.#sequence)
+    if (this.#chosenId !== undefined) this.#options.membership.links.post(this.#chosenId, WITHDRAWAL, ++this.#sequence)
   }
 
   /**
@@ -205,7 +205,7 @@
 
   #giveBack (ask: QuotaRequest, from: DaemonId | undefined): void {
     if (from === undefined) this.#localKeeper.refund(...ask)
-    else this.#options.membership.links.post(from, GIVEN_BACK, ask)
+    else this.#options.membership.links.post(from, REFUND, ask)
   }
 
   #keeperInput (): { now: number, all: number } {
@@ -253,7 +253,7 @@
     const number = ++this.#sequence
     if (keeper === undefined) return this.#localKeeper.withdraw(this.#options.self, steadyNow(), number)
     if (this.#choice.isGone(keeper)) return
-    this.#options.membership.links.post(keeper, WITHDRAWN, number)
+    this.#options.membership.links.post(keeper, WITHDRAWAL, number)
     this.#pendingWithdrawal = number
     this.#priorVoteEndsBeforeChangeMs = this.#priorVoteEndsAtMs
     this.#priorVoteEndsAtMs = Math.max(this.#priorVoteEndsAtMs, this.#votedAtMs + VOTE_TTL_MS)
@@ -261,7 +261,7 @@
 
   #onWithdrawn (from: DaemonId, number: number): void {
     this.#localKeeper.withdraw(from, steadyNow(), number)
-    this.#options.membership.links.post(from, FREED, { number, levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies WithdrawalReply)
+    this.#options.membership.links.post(from, WITHDRAWAL_REPLY, { number, levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies WithdrawalReply)
   }
 
   #onFreed ({ number, levels }: WithdrawalReply): void {
@@ -278,11 +278,11 @@
 
   #onVoted (from: DaemonId, vote: Vote): void {
     this.#localKeeper.vote(from, steadyNow(), vote)
-    this.#options.membership.links.post(from, HEARD, { levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies KeeperReply)
+    this.#options.membership.links.post(from, KEEPER_REPLY, { levels: this.#localKeeper.levels(this.#keeperInput()) } satisfies KeeperReply)
   }
 
-  #onHeard (from: DaemonId, levels: AccountLevel[]): void {
-    this.#choice.heard(from, steadyNow())
+  #onKeeperReply (from: DaemonId, levels: AccountLevel[]): void {
+    this.#choice.recordHeartbeat(from, steadyNow())
     if (from !== this.#chosenId || levels.length === 0) return
     this.#levels = levels
     this.#inheritedLevels = []
