--- a/scripts/pages.ts
+++ b/scripts/pages.ts
@@ -79,7 +79,7 @@
 
 | what | at ${size.daemons} daemons | slope | from |
 |---|---|---|---|
-| heartbeats and rumours, bytes/s sent, headers included | ${formatNumber(wireBytesPerS.value, 0)} | ${formatNumber(wireBytesPerS.slope, 2)} a daemon | \`membership\`, 50 to ${largestNodeCount} nodes |
+| heartbeats and gossip, bytes/s sent, headers included | ${formatNumber(wireBytesPerS.value, 0)} | ${formatNumber(wireBytesPerS.slope, 2)} a daemon | \`membership\`, 50 to ${largestNodeCount} nodes |
 | changes of configuration, bytes/s on average | ${formatNumber(changeBytesPerS, 0)} | ${formatNumber(changeBytes.value / 1000, 0)} kB a change | \`membership --count 100\`, extrapolated |
 | **bytes/s in all** | **${formatNumber(controlBytes, 0)}** ${controlBytes <= limit.bytesPerS ? 'within the limit' : '**over the limit**'} | | |
 | processor | ${formatNumber(cpuPercent.value, 3)}% of a core | ${formatNumber(cpuPercent.slope * 1000, 3)}% a thousand daemons | \`membership\` |
@@ -98,7 +98,7 @@
 | reclaim planner | streams on leaving endpoints | orders to engines | ${reclaimPlan.medianMs} ms for ${formatNumber(reclaimPlan.streams!)} streams; a daemon has ${formatNumber(perDaemon.streams, 0)} (\`reclaim\`) | knapsack for each source, bounded local search |
 | claims (8 daemons write one shard each) | ${formatNumber(claimsPerS * 3600 / 8)} claims a shard for an hour, about 200 B each: ${formatNumber(claimsPerS * 3600 / 8 * 200 / 1e6)} MB (worked out, size of a claim assumed) | 1 call to the shard's writer | ${claimsRow.writesPerS} store writes/s for the fleet at ${claimsRow.claimsPerS} claims/s; ${claimsRow.addedMsP50} ms added (\`once\`) | head object replaced under its version |
 | standby for another daemon | prompts and places of its streams, ${formatNumber(perDaemon.streams * size.promptBytes / 1e6, 2)} MB | ${formatNumber(perDaemon.requests)} records/s, ${formatNumber(perDaemon.requests * size.promptBytes / 1000, 0)} kB/s (prompts of ${formatNumber(size.promptBytes)} B assumed); request data, not control | not measured | heir by rendezvous in another domain |
-| membership, configuration, facts | ${size.daemons} records | see above | see above | three rings of neighbours, rumours, digests |
+| membership, configuration, facts | ${size.daemons} records | see above | see above | three rings of neighbours, gossip, digests |
 
 ## The store (several hundred writes and ${formatNumber(limit.storeReads)} reads a second for the fleet)
 
